--- a/cmd/wayhold/main.go
+++ b/cmd/wayhold/main.go
@@ -96,7 +96,7 @@
 
 // atStart tries again what fails by a lack that passes: a process that ends at its start has crashed.
 func atStart(try func() error) error {
-	return syserr.Retry(context.Background(), startWithin, syserr.Backoff{First: reloadPause, Most: startPauseMost}, try)
+	return syserr.Retry(context.Background(), startWithin, syserr.Backoff{Initial: reloadPause, Max: startPauseMost}, try)
 }
 
 func listen(to *net.Listener, address string) error {
@@ -112,7 +112,7 @@
 	for {
 		select {
 		case <-hup:
-			backoff = syserr.Backoff{First: reloadPause, Most: reloadPauseMost}
+			backoff = syserr.Backoff{Initial: reloadPause, Max: reloadPauseMost}
 			late = time.Now().Add(reloadFor)
 		case <-again:
 		case <-done:
--- a/internal/discovery/discovery.go
+++ b/internal/discovery/discovery.go
@@ -1,5 +1,5 @@
-// Package discovery follows the list of servers: it watches, asks again after failures, and keeps to the time
-// from which news counts as told (PROTOCOL and STANDING of the operators' pages).
+// Package discovery follows the list of servers with long polls: it watches the list, retries after failures, and
+// meets the deadline by which news counts as delivered (PROTOCOL and STANDING of the operators' pages).
 package discovery
 
 import (
@@ -25,50 +25,53 @@
 	"cobaltward/policy"
 )
 
-// Whatever discovery has counts as told newsLatest after it could be reached, whichever call failed to bring it,
-// and the rule on drains runs from then. A watch that has fallen silent looks like one that has nothing to tell. So
-// it is given up long before that, for the next call needs time as well: discovery handles calls in turn, and all
-// watches of the fleet may have fallen silent together.
+// Whatever discovery has counts as delivered maxUpdateDelay after it became reachable, whichever call failed to fetch it, and
+// the grace of the rule on drains runs from then. A watch that gets no answer any more looks like one without news, so it
+// is given up long before that: the next call needs time as well, since discovery handles calls one by one and all
+// watches of the fleet may have stopped answering at once.
 const (
-	newsLatest  = 6 * time.Second
-	watchRoom   = 4400 * time.Millisecond // of that and the grace, which a watch's mean wait leaves to later calls
-	callsApart  = time.Second / 3         // time between two nodes' calls that discovery was seen to keep up with where nodes are few,
-	watchSpread = 3250 * time.Millisecond // and the most that the waits of many differ by
-	lateAnswer  = 500 * time.Millisecond  // after its wait; answers were seen to come within 10 ms, on the busiest days as well
-	checkWait   = 300 * time.Millisecond
-	callLimit   = 2 * time.Second // for an answer that has nothing to wait for, while news counts as told soon
-	// Else discovery may take its time: a call that is given up in its queue has to wait from the end again.
-	queueLimit, queueMore, queueMost = 3 * time.Second, time.Second, 6 * time.Second // at first, for each one given up, at most
-	bodyLimit                        = 500 * time.Millisecond                        // from an answer's first byte to its last: what it tells may count from the first
-	bodyMost                         = 4 * time.Second                               // the same, after such failures in a row
-	// gatherFor is how long changes gather before the next call while they come faster than that: a call for each would
-	// be most of what a node says when a zone is lost. Discovery takes the watch for the same up to 200 ms after its answer.
-	gatherFor = 100 * time.Millisecond
-	// wishLatest is how long a call is put off for want of the module's wish, which comes within 2.25 s of a failed call and
-	// within 4 s of the start: the promise of newsLatest is not the loop's alone to keep, for that may be late.
-	wishLatest      = 2500 * time.Millisecond
-	firstWishLatest = 4500 * time.Millisecond
-	backoffMin      = 25 * time.Millisecond
-	// backoffMax guards the rule on drains: what a pushed list's agent has counts as told, also while
-	// the node pauses after a failed call.
+	maxUpdateDelay = 6 * time.Second
+	watchMargin    = 4400 * time.Millisecond // part of maxUpdateDelay plus the grace that a watch's mean wait leaves to later calls
+	callSpacing    = time.Second / 3         // between two nodes' calls; discovery was seen to keep up with it for few nodes
+	maxWaitSpread  = 3250 * time.Millisecond // upper bound of the spread of the waits, for many nodes
+	answerSlack    = 500 * time.Millisecond  // allowed after the wait; answers were seen within 10 ms, also on the busiest days
+	checkWait      = 300 * time.Millisecond  // wait of a call that checks whether discovery is reachable
+	callTimeout    = 2 * time.Second         // for an answer without a wait, while news is due soon
+	// Otherwise discovery may take longer: a call that is given up in its queue has to queue again from the end.
+	// The three are the first timeout, the increment for each timeout in a row, and the maximum.
+	queueTimeout, queueTimeoutStep, maxQueueTimeout = 3 * time.Second, time.Second, 6 * time.Second
+	baseBodyTimeout                                 = 500 * time.Millisecond // from an answer's first byte, from when its news may count, to its last
+	maxBodyTimeout                                  = 4 * time.Second        // maximum of the same, which doubles with each failure in a row
+	// batchDelay is the pause in which changes accumulate before the next call, while they arrive faster than that. With
+	// a call for each change, these calls would be most of a node's traffic when a zone is lost. Discovery takes a
+	// call up to 200 ms after an answer as the same watch.
+	batchDelay = 100 * time.Millisecond
+	// maxRequestWait bounds the wait for the decision module's update request, which comes within 2.25 s of a failed call and
+	// within 4 s of the start. Without a bound, a late event loop would break the deadline of maxUpdateDelay.
+	maxRequestWait      = 2500 * time.Millisecond
+	maxFirstRequestWait = 4500 * time.Millisecond
+	backoffMin          = 25 * time.Millisecond
+	// backoffMax keeps pauses within the grace of drains: what the agent of a pushed list has counts as delivered, also
+	// while the node pauses after a failed call.
 	backoffMax = 200 * time.Millisecond
-	// After a move, news counts as told from movedSlack on. All nodes may be told of it together.
-	movedSlack  = 4 * time.Second
-	movedSpread = time.Second
-	movedApart  = 50 * time.Millisecond
-	urgentPart  = 3 // of the time that is left, between calls for what counts as told soon
-	// maxListSize is the most bytes of one answer where Config names no figure. A longer one isn't a list.
+	// After a move to another address, news counts as delivered from moveUpdateDelay on. All nodes may be moved together,
+	// so their first calls are spread.
+	moveUpdateDelay    = 4 * time.Second
+	maxMoveSpread      = time.Second
+	moveSpacing        = 50 * time.Millisecond
+	urgentPauseDivisor = 3 // divides the time left: the longest pause between urgent calls
+	// maxListSize is the largest answer in bytes where Config sets no limit. A longer one is rejected.
 	maxListSize = 8 << 20
 )
 
-// List is the whole list of servers, or what changed in it.
+// List is the full list of servers, or a delta of it.
 type List struct {
 	Revision int64
 	Complete bool
 	Members  []Member
 }
 
-// Member is one entry; UpSince is in Unix milliseconds, and 0 means long ago.
+// Member is one entry. UpSince is in Unix milliseconds; 0 means long ago.
 type Member struct {
 	policy.Member
 	Addr    string
@@ -79,7 +82,7 @@
 	"up": policy.Running, "draining": policy.Draining, "removed": policy.Removed,
 }
 
-// listEntry is one entry of discovery's form.
+// listEntry is one entry in discovery's JSON format.
 type listEntry struct {
 	ID       string   `json:"id"`
 	HostPort string   `json:"host_port"`
@@ -91,7 +94,7 @@
 	UpSince  float64  `json:"up_since_ms"`
 }
 
-// member checks an entry. Its errors name the field.
+// member validates and converts an entry. Its errors name the field.
 func (e listEntry) member() (Member, error) {
 	phase, ok := phases[e.Phase]
 	switch {
@@ -115,16 +118,16 @@
 	return m, nil
 }
 
-// ParseList reads discovery's form. A list with one bad entry is bad as a whole: what it would
-// otherwise leave out might be a drain.
+// ParseList parses a list in discovery's JSON format. One invalid entry makes the whole list invalid, since the
+// entry left out might be a drain.
 func ParseList(raw []byte) (List, error) { return readList(bytes.NewReader(raw)) }
 
-// readList is ParseList of all that comes from a stream. It holds one entry's text at a time.
+// readList is ParseList for a stream, which it reads to its end. It holds one entry's text at a time.
 func readList(from io.Reader) (List, error) {
 	dec := json.NewDecoder(from)
 	l, err := DecodeList(dec)
 	if err == nil {
-		err = field.End(dec)
+		err = field.ExpectEOF(dec)
 	}
 	if err != nil {
 		return List{}, err
@@ -132,20 +135,20 @@
 	return l, nil
 }
 
-// DecodeList is ParseList of the next value of a stream.
+// DecodeList is ParseList for the next value of a stream.
 func DecodeList(from *json.Decoder) (List, error) {
 	var l List
 	var revision *int64
-	var e listEntry // one for all, since it is on the heap
-	err := field.Object(from, func(key string) error {
-		switch strings.ToLower(key) { // as json.Unmarshal finds them
+	var e listEntry // reused for all entries, since it escapes to the heap
+	err := field.DecodeObject(from, func(key string) error {
+		switch strings.ToLower(key) { // matches keys as json.Unmarshal does
 		case "revision":
 			return field.Decode(from, key, &revision)
 		case "complete":
 			return field.Decode(from, key, &l.Complete)
 		case "members":
-			l.Members = nil // of two, the last counts, as with json.Unmarshal
-			return field.Array(from, key, func(i int) error {
+			l.Members = nil // the last of duplicate keys wins, as with json.Unmarshal
+			return field.DecodeArray(from, key, func(i int) error {
 				e = listEntry{}
 				if err := field.DecodeEntry(from, key, i, &e); err != nil {
 					return err
@@ -170,76 +173,76 @@
 	return l, nil
 }
 
-// News is what discovery has to tell.
-type News struct {
-	Kind         policy.ListKind
-	Members      []Member
-	Revision     int64
-	Asked, Heard time.Time // the call and its last byte, for the log; zero for a list that no call brought
+// Update is an update of the list from discovery, or the report that it is unavailable.
+type Update struct {
+	Kind                policy.ListKind
+	Members             []Member
+	Revision            int64
+	Requested, Received time.Time // start of the call and arrival of its last byte, for the log; zero for a list that no call fetched
 }
 
-// Config is what a Client goes by.
+// Config configures a Client.
 type Config struct {
 	Addr      string
-	Subscribe bool  // watch only when asked to, and tell of failures
-	Revision  int64 // of the list that the node has
-	// Node is the node's number, and Nodes how many there are: their calls are spread.
-	Node, Nodes int
-	Seed        uint64
-	DrainGrace  time.Duration // of the rule on drains, from when news counts as told
-	AskWithin   time.Duration // in which a node without a watch has to ask; 0: the pages' figure alone
-	MaxListSize int64         // bytes of one answer, by the memory that there is for lists; 0: 8 MiB
-	// Dial opens connections; nil: over TCP.
+	Subscribe bool  // watch only on request, and report failures
+	Revision  int64 // of the list that the node holds
+	// Node is the node's number and Nodes their total count, by which calls are spread.
+	Node, Nodes       int
+	Seed              uint64
+	DrainGrace        time.Duration // of the rule on drains, from when news counts as delivered
+	ListRefreshWithin time.Duration // within which a node without a watch has to ask; 0: maxUpdateDelay alone applies
+	MaxListSize       int64         // maximum bytes of one answer, from the memory available for lists; 0: 8 MiB
+	// Dial opens connections; nil means TCP.
 	Dial func(ctx context.Context, network, addr string) (net.Conn, error)
 }
 
-// Client watches the list of servers from a connection of its own. Make one with New.
+// Client watches the list of servers over a connection of its own. Create one with New.
 type Client struct {
-	client    *http.Client
-	subscribe bool
-	maxSize   int64
-	asks      chan bool // the module's newest wish to be kept told
-	tell      func(News)
-
-	// Only Run touches these.
-	addr     string
-	revision int64
-	whole    bool      // the next call asks for the whole list
-	unsure   bool      // whether discovery hears this node: the next call waits for a moment only
-	declined bool      // the module wishes to be told nothing
-	failed   int       // calls in a row
-	silent   int       // of these, the last ones that were given up
-	since    time.Time // the first of these
-	last     time.Time // the last
-	// due is when news that failed calls may have missed counts as told; zero where none is known to be.
-	due    time.Time
-	within time.Duration // news counts so long after discovery had it, for a node without a watch
-	open   time.Time     // the same of the last call, were it silent
-	// gathered tells that the last answer was followed by a pause, in which what changed counts as told; quick that the
-	// call before was answered with changes sooner than they gather.
-	gathered, quick bool
-	grace           time.Duration // of the rule on drains, from then on
-	nodes           int
-	rng             *rand.Rand
-
-	mu        sync.Mutex
-	moved     string             // the address to go on at, until Run has taken it up
-	interrupt context.CancelFunc // ends the call in flight, or the pause between two
+	client         *http.Client
+	subscribe      bool
+	maxSize        int64
+	updateRequests chan bool // the decision module's latest update request
+	onUpdate       func(Update)
+
+	// Used by Run only.
+	addr            string
+	revision        int64
+	fullList        bool      // the next call fetches the full list
+	unverified      bool      // it isn't known that discovery is reachable: the next call waits for checkWait only
+	updatesDeclined bool      // the decision module has requested no updates
+	failures        int       // failed calls in a row
+	timeouts        int       // timeouts in a row, up to the latest failure
+	firstFailure    time.Time // time of the first failure in a row
+	lastFailure     time.Time // time of the latest failure
+	// updateDue is when news that failed calls may have missed counts as delivered; zero if none is known to be missing.
+	updateDue   time.Time
+	updateDelay time.Duration // from when discovery has news until it counts as delivered, for a node without a watch
+	lastCallDue time.Time     // updateDue of the latest call, in case it gets no answer
+	// batched is set if a batchDelay pause followed the last answer; changes in that pause count as delivered at once.
+	// quick is set if the call before was answered with changes in less than batchDelay.
+	batched, quick bool
+	drainGrace     time.Duration // of the rule on drains, from updateDue on
+	nodes          int
+	rng            *rand.Rand
+
+	mu          sync.Mutex
+	pendingAddr string             // the address to move to, until Run applies it
+	interrupt   context.CancelFunc // ends the call in flight or the pause between two calls
 }
 
-// New returns a Client, which does nothing before Run. It hands its news to tell, one after the other.
-func New(c Config, tell func(News)) *Client {
+// New returns a Client, which is idle until Run. It calls onUpdate sequentially.
+func New(c Config, onNews func(Update)) *Client {
 	dial := c.Dial
 	if dial == nil {
-		dial = (&net.Dialer{Timeout: callLimit}).DialContext
+		dial = (&net.Dialer{Timeout: callTimeout}).DialContext
 	}
 	d := &Client{
 		addr: c.Addr, subscribe: c.Subscribe, maxSize: c.MaxListSize,
-		revision: c.Revision, unsure: true, asks: make(chan bool, 1), tell: tell, interrupt: func() {},
-		grace: c.DrainGrace, nodes: c.Nodes, within: newsLatest,
+		revision: c.Revision, unverified: true, updateRequests: make(chan bool, 1), onUpdate: onNews, interrupt: func() {},
+		drainGrace: c.DrainGrace, nodes: c.Nodes, updateDelay: maxUpdateDelay,
 		rng: rand.New(rand.NewPCG(c.Seed, uint64(c.Node))),
 		client: &http.Client{
-			// A Transport of its own, so neither a proxy nor the requests share its connection.
+			// A separate Transport: the connection is shared with neither a proxy nor the requests.
 			Transport:     &http.Transport{DisableCompression: true, MaxConnsPerHost: 1, DialContext: dial},
 			CheckRedirect: func(*http.Request, []*http.Request) error { return http.ErrUseLastResponse },
 		},
@@ -247,39 +250,39 @@
 	if d.maxSize <= 0 {
 		d.maxSize = maxListSize
 	}
-	if c.Subscribe && c.AskWithin > 0 {
-		d.within = min(d.within, c.AskWithin)
+	if c.Subscribe && c.ListRefreshWithin > 0 {
+		d.updateDelay = min(d.updateDelay, c.ListRefreshWithin)
 	}
 	return d
 }
 
-// Ask passes the module's wish to be kept told on; a newer one takes the place of one not yet heard. One goroutine
-// calls it, and it never blocks.
-func (d *Client) Ask(on bool) {
+// RequestUpdates starts or stops updates at the decision module's request. A newer request replaces one that Run has not
+// received yet. It never blocks; only one goroutine may call it.
+func (d *Client) RequestUpdates(enabled bool) {
 	select {
-	case <-d.asks:
+	case <-d.updateRequests:
 	default:
 	}
-	d.asks <- on
+	d.updateRequests <- enabled
 }
 
-// Move goes on at another address at once: what the old one still has to say may never come.
+// Move switches to another address at once, without waiting for the old one, which may never answer.
 func (d *Client) Move(addr string) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.moved = addr
+	d.pendingAddr = addr
 	d.interrupt()
 }
 
-// settle takes up a move, if there was one, and returns what the next call or pause runs under.
-func (d *Client) settle(ctx context.Context) (context.Context, context.CancelFunc, bool) {
+// applyMove applies a pending move, if any, and returns the context of the next call or pause.
+func (d *Client) applyMove(ctx context.Context) (context.Context, context.CancelFunc, bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	moved := d.moved != ""
+	moved := d.pendingAddr != ""
 	if moved {
-		slog.Info("discovery: moved", "address", d.moved)
-		d.addr, d.moved = d.moved, ""
-		d.whole = true // revisions of another address need not compare
+		slog.Info("discovery: moved", "address", d.pendingAddr)
+		d.addr, d.pendingAddr = d.pendingAddr, ""
+		d.fullList = true // revisions of different addresses may not be comparable
 		d.client.CloseIdleConnections()
 	}
 	ctx, d.interrupt = context.WithCancel(ctx)
@@ -291,218 +294,218 @@
 	defer d.client.CloseIdleConnections()
 	watching, backoff := !d.subscribe, time.Duration(0)
 	for ctx.Err() == nil {
-		call, cancel, moved := d.settle(ctx)
+		callCtx, cancel, moved := d.applyMove(ctx)
 		if moved {
-			// At once, or nearly, even where the module waits to call the old address again.
+			// Call almost at once, even where the decision module waits to retry the old address.
 			now := time.Now()
-			watching, backoff, d.failed, d.silent = true, 0, 0, 0
-			latest := now.Add(movedSlack)
-			for _, missed := range []time.Time{d.due, d.open} { // what was left may have failed, or been silent
-				if !missed.IsZero() && missed.Before(latest) {
-					latest = missed
+			watching, backoff, d.failures, d.timeouts = true, 0, 0, 0
+			latest := now.Add(moveUpdateDelay)
+			for _, due := range []time.Time{d.updateDue, d.lastCallDue} { // calls to the old address may have failed, or had no answer
+				if !due.IsZero() && due.Before(latest) {
+					latest = due
 				}
 			}
-			d.due = now.Add(movedSlack)
-			spread := min(movedSpread, time.Duration(d.nodes)*movedApart)
-			pause(call, min(time.Duration(d.rng.Float64()*float64(spread)), latest.Add(d.grace-callLimit).Sub(now)))
+			d.updateDue = now.Add(moveUpdateDelay)
+			spread := min(maxMoveSpread, time.Duration(d.nodes)*moveSpacing)
+			pause(callCtx, min(time.Duration(d.rng.Float64()*float64(spread)), latest.Add(d.drainGrace-callTimeout).Sub(now)))
 		}
 		if d.subscribe {
-			watching = d.heed(call, watching)
+			watching = d.awaitRequest(callCtx, watching)
 		}
-		if watching && call.Err() == nil {
-			watching, backoff = d.turn(call, backoff)
+		if watching && callCtx.Err() == nil {
+			watching, backoff = d.callOnce(callCtx, backoff)
 		}
 		cancel()
 	}
 }
 
-// turn makes one call, and pauses after one that failed.
-func (d *Client) turn(ctx context.Context, backoff time.Duration) (bool, time.Duration) {
-	c := d.plan()
-	d.open = c.asked.Add(newsLatest)
-	l, err := d.watch(ctx, c)
+// callOnce makes one call and pauses if it failed. It returns whether to go on watching, and the new backoff.
+func (d *Client) callOnce(ctx context.Context, backoff time.Duration) (bool, time.Duration) {
+	c := d.planCall()
+	d.lastCallDue = c.started.Add(maxUpdateDelay)
+	l, err := d.fetchList(ctx, c)
 	switch {
 	case err == nil:
-		d.learn(l, c.asked)
-		quick := c.wait > checkWait && len(l.Members) > 0 && time.Since(c.asked) < gatherFor
-		if d.gathered, d.quick = quick && d.quick, quick; d.gathered { // twice in a row is hardly chance
-			pause(ctx, gatherFor)
+		d.deliver(l, c.started)
+		quick := c.wait > checkWait && len(l.Members) > 0 && time.Since(c.started) < batchDelay
+		if d.batched, d.quick = quick && d.quick, quick; d.batched { // twice in a row is unlikely to be chance
+			pause(ctx, batchDelay)
 		}
 		return true, 0
-	case ctx.Err() != nil: // moved, or the end
+	case ctx.Err() != nil: // moved or shut down
 		return true, 0
 	}
-	d.miss(c, err)
-	if !d.subscribe { // the last list stays, and the module need not know
+	d.recordFailure(c, err)
+	if !d.subscribe { // the last list stays in force, and the decision module need not know
 		backoff = nextBackoff(backoff)
-		pause(ctx, backoff/2+time.Duration(d.rng.Float64()*float64(backoff/2))) // not in step with other nodes
+		pause(ctx, backoff/2+time.Duration(d.rng.Float64()*float64(backoff/2))) // jitter, so that nodes don't synchronize
 		return true, backoff
 	}
 	if d.urgent() {
-		if c.broke { // one that fell silent has waited for long enough
-			pause(ctx, d.breath())
+		if c.failed { // a call that timed out has waited long enough
+			pause(ctx, d.urgentPause())
 		}
 		return true, 0
 	}
-	d.due = time.Time{}
-	d.tell(News{Kind: policy.ListUnavailable}) // the module says when to try again
+	d.updateDue = time.Time{}
+	d.onUpdate(Update{Kind: policy.ListUnavailable}) // the decision module decides when to retry
 	return false, 0
 }
 
-// listCall is one call for the list.
+// listCall is the plan and the state of one call for the list.
 type listCall struct {
-	asked       time.Time
-	wait, limit time.Duration // that it may wait for news, and take in all
-	body        time.Duration // that its answer may take, once begun
-	reached     atomic.Bool   // discovery, by its connection
-	began       atomic.Bool   // its answer has
-	silent      bool          // it was given up
-	broke       bool          // it ended by itself
-	refused     bool          // discovery answered that it can't answer
+	started       time.Time
+	wait, timeout time.Duration // for news at the server, and for the call as a whole
+	bodyTimeout   time.Duration // timeout from the first byte of the answer to its last
+	connected     atomic.Bool   // a connection to discovery was obtained
+	responseBegan atomic.Bool   // the answer has begun
+	timedOut      bool          // it was cancelled after its timeout
+	failed        bool          // it failed before its timeout
+	refused       bool          // discovery answered with an error status
 }
 
-// plan says how long the next call may take. The waits of many nodes differ, since a change answers all
-// their watches together: those that fall silent then are not all given up, and called anew, together.
-func (d *Client) plan() *listCall {
-	c := &listCall{asked: time.Now(), body: min(bodyMost, bodyLimit<<min(d.failed, 10))}
-	c.limit = min(queueMost, queueLimit+time.Duration(d.silent)*queueMore)
-	if (d.silent == 1 || d.silent == 2) && d.urgent() {
-		c.limit = callLimit
+// planCall sets the wait and the timeouts of the next call. The waits of many nodes differ, since a change answers all
+// their watches at the same time: watches that stop answering then neither time out nor are retried all at once.
+func (d *Client) planCall() *listCall {
+	c := &listCall{started: time.Now(), bodyTimeout: min(maxBodyTimeout, baseBodyTimeout<<min(d.failures, 10))}
+	c.timeout = min(maxQueueTimeout, queueTimeout+time.Duration(d.timeouts)*queueTimeoutStep)
+	if (d.timeouts == 1 || d.timeouts == 2) && d.urgent() {
+		c.timeout = callTimeout
 	}
 	switch {
-	case d.whole:
-	case d.unsure:
+	case d.fullList:
+	case d.unverified:
 		c.wait = checkWait
-		c.limit += c.wait
+		c.timeout += c.wait
 	default:
-		spread := min(watchSpread, time.Duration(d.nodes)*callsApart)
-		mean := newsLatest + d.grace - watchRoom
+		spread := min(maxWaitSpread, time.Duration(d.nodes)*callSpacing)
+		mean := maxUpdateDelay + d.drainGrace - watchMargin
 		c.wait = max(checkWait, mean+time.Duration((d.rng.Float64()-0.5)*float64(spread))).Truncate(time.Millisecond)
-		c.limit = c.wait + lateAnswer
+		c.timeout = c.wait + answerSlack
 	}
 	return c
 }
 
-// miss notes a call that failed, and by when the news that it may have missed has to be heard.
-func (d *Client) miss(c *listCall, err error) {
+// recordFailure records a failed call, and when the news that it may have missed counts as delivered.
+func (d *Client) recordFailure(c *listCall, err error) {
 	now := time.Now()
-	if d.failed++; d.failed == 1 {
-		d.since = now
-		// A watch that stood brought all that came before its end; a call that waited in the queue brought nothing.
-		if d.last = c.asked; !c.refused {
-			d.last = now.Add(-min(now.Sub(c.asked), callLimit))
+	if d.failures++; d.failures == 1 {
+		d.firstFailure = now
+		// An established watch returned all news up to its end; a call that waited in the queue returned none.
+		if d.lastFailure = c.started; !c.refused {
+			d.lastFailure = now.Add(-min(now.Sub(c.started), callTimeout))
 		}
 	}
-	if d.silent++; !c.silent {
-		d.silent = 0
+	if d.timeouts++; !c.timedOut {
+		d.timeouts = 0
 	}
-	d.unsure = true
-	// Later, discovery may have been back since the last failure.
-	told := d.last.Add(d.within)
+	d.unverified = true
+	// After the first failure, discovery may have been reachable again since the failure before this one.
+	due := d.lastFailure.Add(d.updateDelay)
 	switch {
-	case c.began.Load(): // some of it was written, and what was counts
-		told = now
-	case !c.reached.Load(): // nor could any news be
-		if told = now.Add(d.within); d.due.After(now) {
-			d.due = told
+	case c.responseBegan.Load(): // part of the answer was written, and its news counts
+		due = now
+	case !c.connected.Load(): // without a connection, no news could be delivered
+		if due = now.Add(d.updateDelay); d.updateDue.After(now) {
+			d.updateDue = due
 		}
-	case c.silent && d.failed == 1:
-		told = c.asked.Add(newsLatest)
+	case c.timedOut && d.failures == 1:
+		due = c.started.Add(maxUpdateDelay)
 	}
-	if d.gathered && told.After(c.asked) { // what came while changes gathered counted at once
-		told = c.asked
+	if d.batched && due.After(c.started) { // changes during the batch pause counted at once
+		due = c.started
 	}
-	d.gathered, d.quick = false, false
-	if d.due.IsZero() || told.Before(d.due) {
-		d.due = told
+	d.batched, d.quick = false, false
+	if d.updateDue.IsZero() || due.Before(d.updateDue) {
+		d.updateDue = due
 	}
-	d.last = now
-	if !d.subscribe && d.failed > 1 {
-		return // a pushed list's agent is called again soon, and often
+	d.lastFailure = now
+	if !d.subscribe && d.failures > 1 {
+		return // the agent of a pushed list is retried soon and often
 	}
-	what := "discovery: a watch failed"
-	if c.silent {
-		what = "discovery: a watch fell silent"
+	msg := "discovery: watch failed"
+	if c.timedOut {
+		msg = "discovery: watch timed out"
 	}
-	slog.Warn(what, "after", now.Sub(c.asked), "wait", c.wait, "revision", d.revision, "in_a_row", d.failed, "err", err)
+	slog.Warn(msg, "after", now.Sub(c.started), "wait", c.wait, "revision", d.revision, "in_a_row", d.failures, "err", err)
 }
 
-// urgent tells whether news that counts as told, or soon does, can still be heard in time.
-func (d *Client) urgent() bool { return time.Now().Before(d.due.Add(d.grace)) }
+// urgent reports whether news that counts as delivered, or soon will, can still be fetched within the grace of drains.
+func (d *Client) urgent() bool { return time.Now().Before(d.updateDue.Add(d.drainGrace)) }
 
-// breath is a pause between two urgent calls: longer each time while there is time left, and never in step with
-// other nodes.
-func (d *Client) breath() time.Duration {
-	span := min(time.Until(d.due.Add(d.grace))/urgentPart, time.Duration(d.nodes)*callsApart<<min(d.failed-1, 10))
+// urgentPause returns a random pause between two urgent calls. Its bound grows with each failure, limited by the time
+// left; the jitter keeps nodes from synchronizing.
+func (d *Client) urgentPause() time.Duration {
+	span := min(time.Until(d.updateDue.Add(d.drainGrace))/urgentPauseDivisor, time.Duration(d.nodes)*callSpacing<<min(d.failures-1, 10))
 	return max(backoffMin, time.Duration(d.rng.Float64()*float64(span)))
 }
 
-// heed takes the module's newest wish. It waits for one only while there is nothing to watch, and not for ever.
-func (d *Client) heed(ctx context.Context, watching bool) bool {
+// awaitRequest takes the decision module's latest update request. It waits for one only while not watching, and for at
+// most requestTimeout, unless the module has requested no updates.
+func (d *Client) awaitRequest(ctx context.Context, watching bool) bool {
 	if watching {
 		select {
-		case on := <-d.asks:
-			d.declined = !on
-			return on
+		case enabled := <-d.updateRequests:
+			d.updatesDeclined = !enabled
+			return enabled
 		default:
 			return true
 		}
 	}
-	var late <-chan time.Time // nil: nothing is asked for without a wish
-	if !d.declined {
-		timer := time.NewTimer(d.longestWishWait())
+	var expired <-chan time.Time // nil after a request for no updates: wait without limit
+	if !d.updatesDeclined {
+		timer := time.NewTimer(d.requestTimeout())
 		defer timer.Stop()
-		late = timer.C
+		expired = timer.C
 	}
 	select {
-	case on := <-d.asks:
-		d.declined = !on
-		return on
-	case <-late:
-		slog.Warn("discovery: calling without having been asked to, for the wish is late", "failed", d.failed)
+	case enabled := <-d.updateRequests:
+		d.updatesDeclined = !enabled
+		return enabled
+	case <-expired:
+		slog.Warn("discovery: polling, the decision module's update request is overdue", "failed", d.failures)
 		return true
 	case <-ctx.Done():
 		return false
 	}
 }
 
-// longestWishWait is how long the next call waits for the module's wish.
-func (d *Client) longestWishWait() time.Duration {
-	if d.failed == 0 {
-		return firstWishLatest
+// requestTimeout is how long the next call waits for the decision module's update request.
+func (d *Client) requestTimeout() time.Duration {
+	if d.failures == 0 {
+		return maxFirstRequestWait
 	}
-	return wishLatest
+	return maxRequestWait
 }
 
-var errSilent = errors.New("no answer in time")
+var errTimeout = errors.New("no answer in time")
 
-// watch makes one call, which waits for something newer than the revision held, or asks for the whole
-// list.
-func (d *Client) watch(ctx context.Context, c *listCall) (_ List, err error) {
+// fetchList makes one call, which waits for changes after the revision held, or fetches the full list.
+func (d *Client) fetchList(ctx context.Context, c *listCall) (_ List, err error) {
 	query := url.Values{}
-	if !d.whole {
+	if !d.fullList {
 		query.Set("index", strconv.FormatInt(d.revision, 10))
 		query.Set("wait", strconv.FormatInt(c.wait.Milliseconds(), 10))
 	}
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
-	limit := time.AfterFunc(c.limit, func() { cancel(errSilent) })
-	defer limit.Stop()
+	timer := time.AfterFunc(c.timeout, func() { cancel(errTimeout) })
+	defer timer.Stop()
 	defer func() {
-		if c.silent = err != nil && context.Cause(ctx) == errSilent; c.silent {
-			err = errSilent
+		if c.timedOut = err != nil && context.Cause(ctx) == errTimeout; c.timedOut {
+			err = errTimeout
 		}
-		c.broke = err != nil && !c.silent
+		c.failed = err != nil && !c.timedOut
 	}()
 	ctx = httptrace.WithClientTrace(ctx, &httptrace.ClientTrace{
-		GotConn: func(httptrace.GotConnInfo) { c.reached.Store(true) },
+		GotConn: func(httptrace.GotConnInfo) { c.connected.Store(true) },
 		GotFirstResponseByte: func() {
-			c.began.Store(true)
-			limit.Reset(c.body)
+			c.responseBegan.Store(true)
+			timer.Reset(c.bodyTimeout)
 		},
 	})
-	to := url.URL{Scheme: "http", Host: d.addr, Path: "/registry/instances", RawQuery: query.Encode()}
-	req, err := http.NewRequestWithContext(ctx, http.MethodGet, to.String(), nil)
+	target := url.URL{Scheme: "http", Host: d.addr, Path: "/registry/instances", RawQuery: query.Encode()}
+	req, err := http.NewRequestWithContext(ctx, http.MethodGet, target.String(), nil)
 	if err != nil {
 		return List{}, err
 	}
@@ -512,11 +515,11 @@
 	}
 	defer resp.Body.Close()
 	if resp.StatusCode != http.StatusOK {
-		c.began.Store(false) // and tells no news
+		c.responseBegan.Store(false) // an error status carries no news
 		c.refused = true
 		return List{}, fmt.Errorf("answered %s", resp.Status)
 	}
-	timed := &timedReader{from: resp.Body, left: c.body, limit: limit}
+	timed := &timedReader{src: resp.Body, remaining: c.bodyTimeout, timer: timer}
 	body := &io.LimitedReader{R: timed, N: d.maxSize + 1}
 	l, err := readList(body)
 	switch {
@@ -527,53 +530,55 @@
 	case err != nil:
 		return List{}, fmt.Errorf("malformed list skipped: %w", err)
 	}
-	if d.whole && !l.Complete {
-		return List{}, errors.New("asked for the whole list, got a part")
+	if d.fullList && !l.Complete {
+		return List{}, errors.New("requested the full list, got a delta")
 	}
 	return l, nil
 }
 
-// timedReader bounds the time that is waited for an answer's bytes. What their parser takes isn't discovery's, and
-// on a busy node a long list would look as if discovery had fallen silent.
+// timedReader bounds the total time spent waiting for an answer's bytes. Time spent parsing them doesn't count: on a busy
+// node, a long list would otherwise look as if discovery had stopped answering.
 type timedReader struct {
-	from  io.Reader
-	left  time.Duration
-	limit *time.Timer // ends the call; it runs while a read does
-	err   error       // but for the end
+	src       io.Reader
+	remaining time.Duration
+	timer     *time.Timer // cancels the call; runs only during reads
+	err       error       // last read error other than io.EOF
 }
 
-func (t *timedReader) Read(to []byte) (int, error) {
-	began := time.Now()
-	t.limit.Reset(t.left)
-	n, err := t.from.Read(to)
-	t.limit.Stop()
-	t.left -= time.Since(began)
+func (t *timedReader) Read(p []byte) (int, error) {
+	start := time.Now()
+	t.timer.Reset(t.remaining)
+	n, err := t.src.Read(p)
+	t.timer.Stop()
+	t.remaining -= time.Since(start)
 	if err != nil && err != io.EOF {
 		t.err = err
 	}
 	return n, err
 }
 
-// learn passes on what a watch brought. An empty delta is told only where the module awaits an answer.
-func (d *Client) learn(l List, asked time.Time) {
-	if d.failed > 0 {
-		slog.Info("discovery: heard again", "after", time.Since(d.since), "failed", d.failed, "revision", l.Revision)
+// deliver records a fetched list and passes it on. An empty delta is passed on only where the decision module awaits an
+// answer.
+func (d *Client) deliver(l List, started time.Time) {
+	if d.failures > 0 {
+		slog.Info("discovery: reachable again", "after", time.Since(d.firstFailure), "failed", d.failures, "revision", l.Revision)
 	}
-	d.revision, d.whole, d.unsure, d.failed, d.silent, d.due = l.Revision, false, false, 0, 0, time.Time{}
-	n := News{Kind: policy.ListUpdate, Members: l.Members, Revision: l.Revision, Asked: asked, Heard: time.Now()}
+	d.revision, d.fullList, d.unverified, d.failures, d.timeouts, d.updateDue = l.Revision, false, false, 0, 0, time.Time{}
+	n := Update{Kind: policy.ListUpdate, Members: l.Members, Revision: l.Revision, Requested: started, Received: time.Now()}
 	if l.Complete {
 		n.Kind = policy.ListReplace
 	}
 	if l.Complete || len(l.Members) > 0 || d.subscribe {
-		d.tell(n)
+		d.onUpdate(n)
 	}
 }
 
-// nextBackoff is how long to pause after one more failure in a row.
+// nextBackoff returns the pause after one more failure in a row.
 func nextBackoff(last time.Duration) time.Duration {
 	return min(backoffMax, max(backoffMin, 2*last))
 }
 
+// pause waits for d or until ctx ends.
 func pause(ctx context.Context, d time.Duration) {
 	if d <= 0 {
 		return
--- a/internal/discovery/discovery_test.go
+++ b/internal/discovery/discovery_test.go
@@ -33,23 +33,23 @@
 	return s.Listener.Addr().String()
 }
 
-// receive waits for longer than any step of a test takes, and only where it fails.
+// receive fails the test after a timeout that is longer than any step takes.
 func receive[T any](t *testing.T, what string, from <-chan T) T {
 	t.Helper()
 	select {
 	case v := <-from:
 		return v
 	case <-time.After(30 * time.Second):
-		t.Fatalf("waited in vain for %s", what)
+		t.Fatalf("timed out waiting for %s", what)
 		panic("unreachable")
 	}
 }
 
-// watched plays answers to the calls in turn, then holds the rest, and returns what discovery told
-// and the queries that it made. An answer that is no JSON object is sent with status 503.
-func watched(t *testing.T, subscribe bool, answers ...string) (d *Client, told chan News, queries chan string) {
+// startClient runs a client against a server that gives the answers in turn and then leaves calls open. It returns the
+// client, its news and the revisions that it asked for. An answer that isn't a JSON object is sent with status 503.
+func startClient(t *testing.T, subscribe bool, answers ...string) (d *Client, news chan Update, queries chan string) {
 	t.Helper()
-	queries, told = make(chan string, 100), make(chan News, 100)
+	queries, news = make(chan string, 100), make(chan Update, 100)
 	calls := make(chan string, len(answers))
 	for _, a := range answers {
 		calls <- a
@@ -66,25 +66,25 @@
 			<-r.Context().Done()
 		}
 	})
-	d = New(Config{Addr: addr, Subscribe: subscribe, Revision: 7, Nodes: 1, Seed: 1}, func(n News) { told <- n })
+	d = New(Config{Addr: addr, Subscribe: subscribe, Revision: 7, Nodes: 1, Seed: 1}, func(n Update) { news <- n })
 	ctx, cancel := context.WithCancel(context.Background())
-	ended := make(chan struct{})
-	go func() { d.Run(ctx); close(ended) }()
-	t.Cleanup(func() { cancel(); receive(t, "the end of discovery", ended) })
-	return d, told, queries
+	done := make(chan struct{})
+	go func() { d.Run(ctx); close(done) }()
+	t.Cleanup(func() { cancel(); receive(t, "Run to return", done) })
+	return d, news, queries
 }
 
-func indexes(t *testing.T, queries chan string, want ...string) {
+func expectIndexes(t *testing.T, queries chan string, want ...string) {
 	t.Helper()
 	for i, w := range want {
 		if got := receive(t, "a call", queries); got != w {
-			t.Errorf("call %d asked for what is newer than %s, want %s", i, got, w)
+			t.Errorf("call %d: got index %s, want %s", i, got, w)
 		}
 	}
 }
 
 func TestDeltasComeInOrder(t *testing.T) {
-	_, told, queries := watched(t, false, delta(8, entry("s1", "up")), delta(9), delta(10, entry("s1", "draining")),
+	_, news, queries := startClient(t, false, delta(8, entry("s1", "up")), delta(9), delta(10, entry("s1", "draining")),
 		`{"revision":11,"complete":true,"members":[`+entry("s2", "up")+`]}`)
 	for i, want := range []struct {
 		kind   policy.ListKind
@@ -92,31 +92,31 @@
 		phase  policy.Availability
 	}{{policy.ListUpdate, "s1", policy.Running}, {policy.ListUpdate, "s1", policy.Draining},
 		{policy.ListReplace, "s2", policy.Running}} {
-		n := receive(t, "news", told)
+		n := receive(t, "news", news)
 		if n.Kind != want.kind || len(n.Members) != 1 || n.Members[0].Server != want.server ||
 			n.Members[0].Availability != want.phase {
 			t.Errorf("news %d: %+v", i, n)
 		}
 	}
-	indexes(t, queries, "7", "8", "9", "10", "11")
+	expectIndexes(t, queries, "7", "8", "9", "10", "11")
 }
 
-// A pushed list that can't be had, or read, leaves the last one in force, and says nothing.
+// Where a pushed list can't be fetched or parsed, the last one stays in force and no news is delivered.
 func TestFailuresKeepTheLastList(t *testing.T) {
-	_, told, queries := watched(t, false, "down", `{"revision":`, delta(9, entry("s1", "odd")), `{"members":[]}`,
+	_, news, queries := startClient(t, false, "down", `{"revision":`, delta(9, entry("s1", "odd")), `{"members":[]}`,
 		delta(8, entry("s1", "up")))
-	if n := receive(t, "news", told); n.Kind != policy.ListUpdate || n.Members[0].Server != "s1" {
+	if n := receive(t, "news", news); n.Kind != policy.ListUpdate || n.Members[0].Server != "s1" {
 		t.Errorf("news %+v", n)
 	}
-	indexes(t, queries, "7", "7", "7", "7", "7", "8")
-	if len(told) != 0 {
-		t.Errorf("told also %+v", <-told)
+	expectIndexes(t, queries, "7", "7", "7", "7", "7", "8")
+	if len(news) != 0 {
+		t.Errorf("unexpected news %+v", <-news)
 	}
 }
 
-// The agent of a pushed list may hold a drain as soon as it is back; a node that pauses past the
-// rule's grace would go on sending to that server.
-func TestPausesStayWithinTheGraceOfDrains(t *testing.T) {
+// The agent of a pushed list may hold a drain as soon as it is reachable again. A pause beyond the grace of drains would
+// let the node go on sending to that server.
+func TestBackoffStaysWithinDrainGrace(t *testing.T) {
 	last := time.Duration(0)
 	for i := range 20 {
 		next := nextBackoff(last)
@@ -139,13 +139,13 @@
 		delta(1, `{"id":"a","phase":"up","host_port":"127.0.0.1:9","up_since_ms":1e99}`): "members[0].up_since_ms",
 	} {
 		if _, err := ParseList([]byte(raw)); err == nil || !strings.Contains(err.Error(), want) {
-			t.Errorf("%s: got %v, want it to name %q", raw, err, want)
+			t.Errorf("%s: got %v, want an error containing %q", raw, err, want)
 		}
 	}
 }
 
-// wholeList is a list of n entries as an operator's tool may print it, each on lines of its own.
-func wholeList(n int) string {
+// fullListJSON returns an indented list of n entries, as an operator's tool may print it.
+func fullListJSON(n int) string {
 	var b strings.Builder
 	b.WriteString("{\n  \"revision\": 9,\n  \"complete\": true,\n  \"members\": [")
 	for i := range n {
@@ -165,20 +165,20 @@
 	return b.String()
 }
 
-// A list is as long as what it tells of. One that is longer than there is memory for isn't taken.
-func TestLongListsAreTaken(t *testing.T) {
+// Any list within MaxListSize is accepted; a longer one is rejected.
+func TestLongListsAreAccepted(t *testing.T) {
 	const servers = 39000
-	raw := wholeList(servers)
+	raw := fullListJSON(servers)
 	if len(raw) <= maxListSize {
-		t.Fatalf("a list of %d bytes shows nothing", len(raw))
+		t.Fatalf("a list of %d bytes is too short for this test", len(raw))
 	}
 	for _, c := range []struct {
 		most int64
 		want string // of the error
 	}{{int64(len(raw)), ""}, {int64(len(raw) - 1), "the list is over"}, {0, "the list is over"}} {
 		addr := httpServer(t, func(w http.ResponseWriter, _ *http.Request) { _, _ = io.WriteString(w, raw) })
-		d := New(Config{Addr: addr, Nodes: 1, MaxListSize: c.most}, func(News) {})
-		l, err := d.watch(t.Context(), &listCall{limit: time.Hour, body: time.Hour})
+		d := New(Config{Addr: addr, Nodes: 1, MaxListSize: c.most}, func(Update) {})
+		l, err := d.fetchList(t.Context(), &listCall{timeout: time.Hour, bodyTimeout: time.Hour})
 		if c.want != "" {
 			if err == nil || !strings.Contains(err.Error(), c.want) {
 				t.Errorf("at most %d bytes: got %v, want %q", c.most, err, c.want)
@@ -189,8 +189,8 @@
 	}
 }
 
-// The text of a list isn't held beside what is kept of it: longer text of the same entries costs no memory.
-func TestListsAreReadAsTheyCome(t *testing.T) {
+// A list is parsed as it streams in, so the memory used depends on its entries and not on the length of its text.
+func TestListsAreParsedWhileStreaming(t *testing.T) {
 	read := func(raw string) uint64 {
 		var before, after runtime.MemStats
 		runtime.ReadMemStats(&before)
@@ -200,15 +200,15 @@
 		runtime.ReadMemStats(&after)
 		return after.TotalAlloc - before.TotalAlloc
 	}
-	raw := wholeList(200)
+	raw := fullListJSON(200)
 	spaced := strings.ReplaceAll(raw, "    {", strings.Repeat(" ", 2000)+"{")
 	if short, long := read(raw), read(spaced); long > short+uint64(len(spaced)-len(raw))/4 {
-		t.Errorf("a list of %d bytes took %d, one of %d bytes with the same entries %d", len(raw), short, len(spaced), long)
+		t.Errorf("a list of %d bytes allocated %d, one of %d bytes with the same entries %d", len(raw), short, len(spaced), long)
 	}
 }
 
-// A list that was cut off anywhere, or goes on after its end, is no list: what is missing might be a drain.
-func TestListsAreReadWholeOrNotAtAll(t *testing.T) {
+// A list that is truncated, or followed by more data, is rejected: what is missing might be a drain.
+func TestTruncatedListsAreRejected(t *testing.T) {
 	good := `{"revision":3,"note":{"a":[1,"}"]},"complete":true,"members":[` + entry("a", "up") + `, ` + entry("b", "removed") + `]}`
 	if l, err := ParseList([]byte(good + " \n")); err != nil || len(l.Members) != 2 {
 		t.Fatalf("%+v, %v", l, err)
@@ -222,7 +222,7 @@
 		`{"revision":3,"members":[` + entry("a", "up") + `,]}`, `{"revision":3,"members":[` + entry("a", "up") + `}`,
 		`{"revision":3,"members":{}}`, `{"revision":3 "members":[]}`, `{"revision":3,"members":[[]]}`} {
 		if l, err := ParseList([]byte(raw)); err == nil || strings.Contains(err.Error(), "\n") {
-			t.Errorf("%s: got %+v, %v, want one line on what is wrong", raw, l, err)
+			t.Errorf("%s: got %+v, %v, want a one-line error", raw, l, err)
 		}
 	}
 	for raw, want := range map[string]string{
@@ -234,7 +234,7 @@
 		delta(1, entry("a", "up"), `{"id":"b","phase":"up","cell":"x"}`): "members[1].cell",
 	} {
 		if _, err := ParseList([]byte(raw)); err == nil || !strings.Contains(err.Error(), want) {
-			t.Errorf("%s: got %v, want it to name %q", raw, err, want)
+			t.Errorf("%s: got %v, want an error containing %q", raw, err, want)
 		}
 	}
 }
@@ -243,27 +243,27 @@
 
 func (f readerFunc) Read(p []byte) (int, error) { return f(p) }
 
-// What a busy node takes to read a list isn't discovery's silence; what it waits for the bytes is, over all of them.
-func TestOnlyTheWaitForBytesIsBounded(t *testing.T) {
+// Only the total wait for bytes counts towards the timeout, and not the time that a busy node takes to parse them.
+func TestTimeoutCoversOnlyReads(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		var ended atomic.Bool
-		limit := time.AfterFunc(time.Second, func() { ended.Store(true) })
+		var cancelled atomic.Bool
+		timer := time.AfterFunc(time.Second, func() { cancelled.Store(true) })
 		slow := readerFunc(func(p []byte) (int, error) { time.Sleep(200 * time.Millisecond); return len(p), nil })
-		r := &timedReader{from: slow, left: 500 * time.Millisecond, limit: limit}
+		r := &timedReader{src: slow, remaining: 500 * time.Millisecond, timer: timer}
 		for i, want := range []bool{false, false, true} {
 			if _, err := r.Read(make([]byte, 1)); err != nil {
 				t.Fatal(err)
 			}
 			time.Sleep(time.Hour)
-			if ended.Load() != want {
-				t.Errorf("after %d reads of 200 ms each the call is ended: %v, want %v", i+1, !want, want)
+			if cancelled.Load() != want {
+				t.Errorf("after %d reads of 200 ms each: call cancelled %v, want %v", i+1, !want, want)
 			}
 		}
 	})
 }
 
 func BenchmarkWholeList(b *testing.B) {
-	raw := wholeList(39000)
+	raw := fullListJSON(39000)
 	b.ReportAllocs()
 	b.SetBytes(int64(len(raw)))
 	for b.Loop() {
@@ -273,9 +273,9 @@
 	}
 }
 
-// A move ends the call in flight and its connection, and asks the new address for everything: its
-// revisions need not compare with those of the old one. Two in a row end on the newest.
-func TestMoveAsksTheNewAddressForTheWholeList(t *testing.T) {
+// A move cancels the call in flight, closes its connection and fetches the full list from the new address, whose
+// revisions may not be comparable with the old ones. Of two moves in a row, the last one wins.
+func TestMoveFetchesFullListFromNewAddress(t *testing.T) {
 	for _, subscribe := range []bool{false, true} {
 		closed := make(chan struct{}, 10)
 		silent := httpServer(t, func(_ http.ResponseWriter, r *http.Request) {
@@ -291,30 +291,30 @@
 			}
 			_, _ = io.WriteString(w, `{"revision":2,"complete":true,"members":[`+entry("s9", "up")+`]}`)
 		})
-		d, told, first := watched(t, subscribe)
+		d, news, first := startClient(t, subscribe)
 		if subscribe {
-			d.Ask(true)
+			d.RequestUpdates(true)
 		}
 		receive(t, "the call at the old address", first)
 		d.Move(silent)
 		d.Move(next)
-		if n := receive(t, "the list of the new address", told); n.Kind != policy.ListReplace || n.Members[0].Server != "s9" {
+		if n := receive(t, "the list of the new address", news); n.Kind != policy.ListReplace || n.Members[0].Server != "s9" {
 			t.Errorf("subscribe %v: news %+v", subscribe, n)
 		}
 		if q := receive(t, "the first call", queries); q != "" {
-			t.Errorf("subscribe %v: the first call asks for %q, not for the whole list", subscribe, q)
+			t.Errorf("subscribe %v: query of the first call: got %q, want none (full list)", subscribe, q)
 		}
 		if q := receive(t, "the second call", queries); !strings.HasPrefix(q, "index=2&wait=") {
-			t.Errorf("subscribe %v: the second call asks for %q", subscribe, q)
+			t.Errorf("subscribe %v: query of the second call: got %q", subscribe, q)
 		}
-		if len(told) != 0 {
-			t.Errorf("subscribe %v: told also %+v", subscribe, <-told)
+		if len(news) != 0 {
+			t.Errorf("subscribe %v: unexpected news %+v", subscribe, <-news)
 		}
 	}
 }
 
-// The old address may be silent for good: the call there is ended, not waited for.
-func TestMoveEndsTheCallInFlight(t *testing.T) {
+// The old address may never answer again, so the call to it is cancelled rather than awaited.
+func TestMoveCancelsCallInFlight(t *testing.T) {
 	called, closed := make(chan struct{}), make(chan struct{})
 	old := httpServer(t, func(_ http.ResponseWriter, r *http.Request) {
 		close(called)
@@ -322,62 +322,62 @@
 		close(closed)
 	})
 	next := make(chan struct{}, 10)
-	d := New(Config{Addr: old, Revision: 7, Nodes: 1, Seed: 1}, func(News) {})
+	d := New(Config{Addr: old, Revision: 7, Nodes: 1, Seed: 1}, func(Update) {})
 	ctx, cancel := context.WithCancel(t.Context())
-	ended := make(chan struct{})
-	go func() { d.Run(ctx); close(ended) }()
-	defer func() { cancel(); receive(t, "the end of discovery", ended) }()
+	done := make(chan struct{})
+	go func() { d.Run(ctx); close(done) }()
+	defer func() { cancel(); receive(t, "Run to return", done) }()
 	receive(t, "the call", called)
 	d.Move(httpServer(t, func(_ http.ResponseWriter, r *http.Request) { next <- struct{}{}; <-r.Context().Done() }))
 	receive(t, "the end of the old call", closed)
 	receive(t, "the new call", next)
 }
 
-// Where failed calls have been told of and the wish to try again does not come, for whoever has it is late, the list is
-// asked for all the same: what discovery has counts as told 6 s after it could be reached.
-func TestTheListIsAskedForThoughNobodyWishesItInTime(t *testing.T) {
+// After failed calls were reported, the client polls even if the decision module, running late, doesn't request it:
+// what discovery has counts as delivered 6 s after it became reachable.
+func TestPollsWhenUpdateRequestIsOverdue(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var calls []time.Time
 		unavailable := 0
 		d := New(Config{Addr: "127.0.0.1:9", Subscribe: true, Nodes: 1, Seed: 1, DrainGrace: time.Second,
 			Dial: func(context.Context, string, string) (net.Conn, error) {
 				here, there := net.Pipe()
-				go turnAway(there, func() { calls = append(calls, time.Now()) })
+				go serveUnavailable(there, func() { calls = append(calls, time.Now()) })
 				return here, nil
-			}}, func(n News) {
+			}}, func(n Update) {
 			if n.Kind == policy.ListUnavailable {
 				unavailable++
 			}
 		})
-		runForAMinute(d, true)
+		runOneMinute(d, true)
 		if unavailable == 0 {
-			t.Fatal("the failed calls were not told of")
+			t.Fatal("the failed calls were not reported")
 		}
 		for i, call := range append(calls, time.Now())[1:] {
-			if pause := call.Sub(calls[i]); pause > newsLatest/2 {
+			if pause := call.Sub(calls[i]); pause > maxUpdateDelay/2 {
 				t.Fatalf("no call for %v after call %d of %d", pause, i, len(calls))
 			}
 		}
 	})
 }
 
-// runForAMinute runs a client with one wish to be kept told, or not to be.
-func runForAMinute(d *Client, wish bool) {
+// runOneMinute runs a client for a minute after one request to start or stop updates.
+func runOneMinute(d *Client, enabled bool) {
 	ctx, cancel := context.WithCancel(context.Background())
-	ended := make(chan struct{})
-	go func() { d.Run(ctx); close(ended) }()
-	d.Ask(wish)
+	done := make(chan struct{})
+	go func() { d.Run(ctx); close(done) }()
+	d.RequestUpdates(enabled)
 	time.Sleep(time.Minute)
 	cancel()
-	<-ended
+	<-done
 }
 
-// turnAway answers each call on a connection with 503, and counts it.
-func turnAway(c net.Conn, count func()) {
+// serveUnavailable answers each call on a connection with 503 and counts it.
+func serveUnavailable(c net.Conn, count func()) {
 	defer c.Close()
-	in := bufio.NewReader(c)
+	r := bufio.NewReader(c)
 	for {
-		if _, err := http.ReadRequest(in); err != nil {
+		if _, err := http.ReadRequest(r); err != nil {
 			return
 		}
 		count()
@@ -387,16 +387,16 @@
 	}
 }
 
-// A wish to be told nothing holds until another comes.
-func TestNothingIsAskedForWhereThatIsTheWish(t *testing.T) {
+// A request for no updates stays in force until the next request.
+func TestDoesNotPollWhenUpdatesAreDeclined(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		calls := 0
 		d := New(Config{Addr: "127.0.0.1:9", Subscribe: true, Nodes: 1, Seed: 1,
 			Dial: func(context.Context, string, string) (net.Conn, error) {
 				calls++
 				return nil, errors.New("refused")
-			}}, func(News) {})
-		runForAMinute(d, false)
+			}}, func(Update) {})
+		runOneMinute(d, false)
 		if calls != 0 {
 			t.Errorf("%d calls", calls)
 		}
--- a/internal/faultpoint/faultpoint.go
+++ b/internal/faultpoint/faultpoint.go
@@ -1,22 +1,21 @@
-// Package faultpoint lets a build of the program with the tag "faults" fail system calls on purpose and step its wall
-// clock, for soak tests: Go makes its system calls itself, so that no preloaded library could. In all other builds its
-// functions do nothing.
+// Package faultpoint injects system call failures and wall clock steps into builds with the tag "faults", for soak tests.
+// A preloaded library could not do so, since Go makes system calls directly. In all other builds the functions do nothing.
 package faultpoint
 
-// Call names the calls that can be made to fail.
+// Call names a kind of call that can be made to fail.
 type Call string
 
-// The calls, by the names that the environment variable has for them.
+// The calls, as they are named in the environment variable.
 const (
-	Accept Call = "accept" // accept(2) fails for a moment
-	Dial   Call = "dial"   // socket(2) or connect(2) does
-	Config Call = "config" // the configuration can't be read
-	Folder Call = "folder" // the folder of an upgrade can't be read or written
-	Read   Call = "read"   // read(2) is short, or fails for a moment
-	Write  Call = "write"  // write(2) fails for a moment
+	Accept Call = "accept" // accept(2) fails temporarily
+	Dial   Call = "dial"   // socket(2) or connect(2) fails
+	Config Call = "config" // reading the configuration fails
+	Folder Call = "folder" // reading or writing the upgrade directory fails
+	Read   Call = "read"   // read(2) is short or fails temporarily
+	Write  Call = "write"  // write(2) fails temporarily
 )
 
-// Variable is the environment variable that such a build goes by, such as
-// "seed=7,accept=0.01,dial=0.02,step=-3600s@20s,step=5s@30s": the part of the calls that fail, and steps of the wall
-// clock at times after the start.
-const Variable = "WAYHOLD_FAULTS"
+// EnvVar is the environment variable that configures such a build, for example
+// "seed=7,accept=0.01,dial=0.02,step=-3600s@20s,step=5s@30s": the fraction of each call that fails, and steps of the
+// wall clock with the times after the start at which they happen.
+const EnvVar = "WAYHOLD_FAULTS"
--- a/internal/faultpoint/off.go
+++ b/internal/faultpoint/off.go
@@ -4,11 +4,11 @@
 
 import "time"
 
-// Fail is the error that a call is to fail with; nil: none.
+// Fail returns the error to inject into a call, or nil.
 func Fail(Call) error { return nil }
 
-// Shorten is how many of n bytes a read may take.
-func Shorten(n int) int { return n }
+// ShortenRead returns how many of n bytes a read may request.
+func ShortenRead(n int) int { return n }
 
-// WallStep is by how much the wall clock is off.
-func WallStep() time.Duration { return 0 }
+// WallOffset returns the current offset of the wall clock.
+func WallOffset() time.Duration { return 0 }
--- a/internal/faultpoint/on.go
+++ b/internal/faultpoint/on.go
@@ -13,8 +13,8 @@
 	"time"
 )
 
-// errors that each call fails with, in turn at random.
-var errorsOf = map[Call][]syscall.Errno{
+// errnos holds the errors injected into each call, one of which is chosen at random.
+var errnos = map[Call][]syscall.Errno{
 	Accept: {syscall.ECONNABORTED, syscall.ENFILE, syscall.EMFILE, syscall.ENOBUFS, syscall.ENOMEM, syscall.EPROTO,
 		syscall.EHOSTUNREACH, syscall.ENETDOWN, syscall.EPERM},
 	Dial: {syscall.ENOBUFS, syscall.EADDRNOTAVAIL, syscall.ENETUNREACH, syscall.ENFILE, syscall.ENOMEM, syscall.ECONNABORTED,
@@ -25,48 +25,49 @@
 	Write:  {syscall.ENOBUFS, syscall.ENOMEM},
 }
 
-type step struct{ by, at time.Duration }
+// step changes the wall clock by offset at a time after the start.
+type step struct{ offset, at time.Duration }
 
-// state is what the variable says.
-type state struct {
+// injector holds the faults that the environment variable configures.
+type injector struct {
 	mu    sync.Mutex
 	rng   *rand.Rand
-	parts map[Call]float64
+	rates map[Call]float64
 	steps []step
 	start time.Time
 }
 
-var faults = sync.OnceValue(func() *state {
-	s, err := parse(os.Getenv(Variable))
+var faults = sync.OnceValue(func() *injector {
+	s, err := parse(os.Getenv(EnvVar))
 	if err != nil {
-		fmt.Fprintf(os.Stderr, "%s: %v\n", Variable, err)
+		fmt.Fprintf(os.Stderr, "%s: %v\n", EnvVar, err)
 		os.Exit(1)
 	}
 	return s
 })
 
-func parse(text string) (*state, error) {
-	s := &state{parts: make(map[Call]float64), start: time.Now()}
+func parse(text string) (*injector, error) {
+	s := &injector{rates: make(map[Call]float64), start: time.Now()}
 	seed := uint64(0)
-	for _, word := range strings.Split(text, ",") {
-		name, value, _ := strings.Cut(word, "=")
+	for _, item := range strings.Split(text, ",") {
+		name, value, _ := strings.Cut(item, "=")
 		var err error
 		switch name {
 		case "":
 		case "seed":
 			seed, err = strconv.ParseUint(value, 10, 64)
 		case "step":
-			by, at, _ := strings.Cut(value, "@")
+			offset, at, _ := strings.Cut(value, "@")
 			var st step
-			if st.by, err = time.ParseDuration(by); err == nil {
+			if st.offset, err = time.ParseDuration(offset); err == nil {
 				st.at, err = time.ParseDuration(at)
 			}
 			s.steps = append(s.steps, st)
 		default:
-			if errorsOf[Call(name)] == nil {
+			if errnos[Call(name)] == nil {
 				return nil, fmt.Errorf("unknown call %q", name)
 			}
-			s.parts[Call(name)], err = strconv.ParseFloat(value, 64)
+			s.rates[Call(name)], err = strconv.ParseFloat(value, 64)
 		}
 		if err != nil {
 			return nil, fmt.Errorf("%s: %w", name, err)
@@ -76,36 +77,36 @@
 	return s, nil
 }
 
-// Fail is the error that a call is to fail with; nil: none.
+// Fail returns the error to inject into a call, or nil.
 func Fail(call Call) error {
 	s := faults()
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if part := s.parts[call]; part == 0 || s.rng.Float64() >= part {
+	if rate := s.rates[call]; rate == 0 || s.rng.Float64() >= rate {
 		return nil
 	}
-	codes := errorsOf[call]
+	codes := errnos[call]
 	return os.NewSyscallError(string(call), codes[s.rng.IntN(len(codes))])
 }
 
-// Shorten is how many of n bytes a read may take.
-func Shorten(n int) int {
+// ShortenRead returns how many of n bytes a read may request.
+func ShortenRead(n int) int {
 	s := faults()
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if part := s.parts[Read]; n < 2 || part == 0 || s.rng.Float64() >= part {
+	if rate := s.rates[Read]; n < 2 || rate == 0 || s.rng.Float64() >= rate {
 		return n
 	}
 	return 1 + s.rng.IntN(n-1)
 }
 
-// WallStep is by how much the wall clock is off.
-func WallStep() (off time.Duration) {
+// WallOffset returns the current offset of the wall clock.
+func WallOffset() (offset time.Duration) {
 	s := faults()
 	for _, st := range s.steps {
 		if time.Since(s.start) >= st.at {
-			off += st.by
+			offset += st.offset
 		}
 	}
-	return off
+	return offset
 }
--- a/internal/field/field.go
+++ b/internal/field/field.go
@@ -1,4 +1,4 @@
-// Package field reads what configurations and lists hold, and names the field that can't be read.
+// Package field decodes the JSON of configurations and server lists, with errors that name the offending field.
 package field
 
 import (
@@ -11,26 +11,26 @@
 	"strconv"
 )
 
-// Unmarshal reads JSON. Its errors name the field as the configuration and the protocol name it.
-func Unmarshal(raw []byte, to any) error {
-	err := json.Unmarshal(raw, to)
+// Unmarshal decodes JSON. Its errors name the field by its JSON name.
+func Unmarshal(raw []byte, v any) error {
+	err := json.Unmarshal(raw, v)
 	if bad := (*json.UnmarshalTypeError)(nil); errors.As(err, &bad) && bad.Field != "" {
 		return fmt.Errorf("%s: want %s, got %s", bad.Field, bad.Type, bad.Value)
 	}
 	return err
 }
 
-// Decode reads the next value from a stream as Unmarshal does; name is the field that holds it.
-func Decode(from *json.Decoder, name string, to any) error {
-	if err := from.Decode(to); err != nil {
+// Decode decodes the next value of a stream into v, as Unmarshal does; name is the field that holds it.
+func Decode(dec *json.Decoder, name string, v any) error {
+	if err := dec.Decode(v); err != nil {
 		return decodeError(name, err)
 	}
 	return nil
 }
 
-// DecodeEntry is Decode of the entry i of an array. It makes no name where there is nothing to say.
-func DecodeEntry(from *json.Decoder, array string, i int, to any) error {
-	if err := from.Decode(to); err != nil {
+// DecodeEntry is Decode for entry i of an array. It formats the entry's name only for an error.
+func DecodeEntry(dec *json.Decoder, array string, i int, v any) error {
+	if err := dec.Decode(v); err != nil {
 		return decodeError(fmt.Sprintf("%s[%d]", array, i), err)
 	}
 	return nil
@@ -47,76 +47,77 @@
 		}
 		return fmt.Errorf("%s: want %s, got %s", name, want, bad.Value)
 	}
-	return fmt.Errorf("%s: %w", name, cutOff(err))
+	return fmt.Errorf("%s: %w", name, unexpectedEOF(err))
 }
 
-// Object reads the next value from a stream, an object, and calls each for every key, to take the key's value.
+// DecodeObject reads an object from a stream and calls decode for every key, which has to read the key's value.
 // As with Unmarshal, null is an object without keys.
-func Object(from *json.Decoder, each func(key string) error) error {
-	switch t, err := from.Token(); {
+func DecodeObject(dec *json.Decoder, decode func(key string) error) error {
+	switch t, err := dec.Token(); {
 	case err != nil:
-		return cutOff(err)
+		return unexpectedEOF(err)
 	case t == nil:
 		return nil
 	case t != json.Delim('{'):
-		return fmt.Errorf("want an object, got %s", kind(t))
+		return fmt.Errorf("want an object, got %s", tokenKind(t))
 	}
-	for from.More() {
-		key, err := from.Token()
+	for dec.More() {
+		key, err := dec.Token()
 		if err != nil {
-			return cutOff(err)
+			return unexpectedEOF(err)
 		}
-		if err := each(key.(string)); err != nil {
+		if err := decode(key.(string)); err != nil {
 			return err
 		}
 	}
-	_, err := from.Token() // the end, or what stands in its place
-	return cutOff(err)
+	_, err := dec.Token() // the closing brace, or the error in its place
+	return unexpectedEOF(err)
 }
 
-// Array reads the next value from a stream, an array, and calls each for every entry, to take it. As with
-// Unmarshal, null is an array without entries.
-func Array(from *json.Decoder, name string, each func(i int) error) error {
-	switch t, err := from.Token(); {
+// DecodeArray reads an array from a stream and calls decode for every entry, which has to read it. As with Unmarshal,
+// null is an array without entries.
+func DecodeArray(dec *json.Decoder, name string, decode func(i int) error) error {
+	switch t, err := dec.Token(); {
 	case err != nil:
-		return fmt.Errorf("%s: %w", name, cutOff(err))
+		return fmt.Errorf("%s: %w", name, unexpectedEOF(err))
 	case t == nil:
 		return nil
 	case t != json.Delim('['):
-		return fmt.Errorf("%s: want array, got %s", name, kind(t))
+		return fmt.Errorf("%s: want array, got %s", name, tokenKind(t))
 	}
-	for i := 0; from.More(); i++ {
-		if err := each(i); err != nil {
+	for i := 0; dec.More(); i++ {
+		if err := decode(i); err != nil {
 			return err
 		}
 	}
-	if _, err := from.Token(); err != nil {
-		return fmt.Errorf("%s: %w", name, cutOff(err))
+	if _, err := dec.Token(); err != nil {
+		return fmt.Errorf("%s: %w", name, unexpectedEOF(err))
 	}
 	return nil
 }
 
-// End says what is wrong where a stream goes on after its one value.
-func End(from *json.Decoder) error {
-	switch t, err := from.Token(); {
+// ExpectEOF returns an error if anything but white space follows the value of a stream.
+func ExpectEOF(dec *json.Decoder) error {
+	switch t, err := dec.Token(); {
 	case err == io.EOF:
 		return nil
 	case err != nil:
 		return err
 	default:
-		return fmt.Errorf("%s after the end", kind(t))
+		return fmt.Errorf("%s after the end", tokenKind(t))
 	}
 }
 
-// cutOff keeps a stream that ends too early from looking like one that is over.
-func cutOff(err error) error {
+// unexpectedEOF replaces io.EOF by io.ErrUnexpectedEOF, so that a truncated stream isn't taken for a complete one.
+func unexpectedEOF(err error) error {
 	if err == io.EOF {
 		return io.ErrUnexpectedEOF
 	}
 	return err
 }
 
-func kind(t json.Token) string {
+// tokenKind returns the name of a token's JSON type, for error messages.
+func tokenKind(t json.Token) string {
 	switch t := t.(type) {
 	case json.Delim:
 		switch t {
@@ -136,7 +137,7 @@
 	return "null"
 }
 
-// CheckAddress says what is wrong with an address that should be a host and a port.
+// CheckAddress returns an error unless addr is a host and a port.
 func CheckAddress(addr string) error {
 	host, port, err := net.SplitHostPort(addr)
 	if err != nil {
--- a/internal/field/field_test.go
+++ b/internal/field/field_test.go
@@ -6,20 +6,20 @@
 	"testing"
 )
 
-// read takes an object with a number, an array of numbers and an object from a stream, as its users do.
+// read decodes an object that holds a number, an array of numbers and an object from a stream, and adds up the numbers.
 func read(text string) (sum int, err error) {
-	from := json.NewDecoder(strings.NewReader(text))
-	err = Object(from, func(key string) error {
+	dec := json.NewDecoder(strings.NewReader(text))
+	err = DecodeObject(dec, func(key string) error {
 		switch key {
 		case "one":
 			n := 0
-			err := Decode(from, key, &n)
+			err := Decode(dec, key, &n)
 			sum += n
 			return err
 		case "many":
-			return Array(from, key, func(i int) error {
+			return DecodeArray(dec, key, func(i int) error {
 				n := 0
-				err := DecodeEntry(from, key, i, &n)
+				err := DecodeEntry(dec, key, i, &n)
 				sum += n
 				return err
 			})
@@ -27,19 +27,19 @@
 			var in struct {
 				N int `json:"n"`
 			}
-			err := Decode(from, key, &in)
+			err := Decode(dec, key, &in)
 			sum += in.N
 			return err
 		}
-		return Decode(from, key, new(json.RawMessage))
+		return Decode(dec, key, new(json.RawMessage))
 	})
 	if err == nil {
-		err = End(from)
+		err = ExpectEOF(dec)
 	}
 	return sum, err
 }
 
-func TestStreamsAreReadWhole(t *testing.T) {
+func TestStreamsAreDecodedCompletely(t *testing.T) {
 	for text, want := range map[string]int{
 		`{"one":1,"many":[2,3],"other":{"a":[1]},"inner":{"n":4}}`: 10,
 		` {} `: 0, `null`: 0, `{"many":null,"one":null}`: 0, `{"many":[]}`: 0,
@@ -50,7 +50,7 @@
 	}
 }
 
-// Each error names the field that can't be read, and a text that is cut off never looks like one that is over.
+// Each error names the field that can't be decoded, and truncated text is never taken for complete.
 func TestStreamErrorsNameTheField(t *testing.T) {
 	for text, want := range map[string]string{
 		``: "unexpected EOF", `[]`: "want an object, got array", `7`: "want an object, got number", `"x"`: "got string", `true`: "got bool",
@@ -61,7 +61,7 @@
 		`{} {}`: "object after the end", `{} 7`: "number after the end", `{}]`: "invalid character",
 	} {
 		if _, err := read(text); err == nil || !strings.Contains(err.Error(), want) {
-			t.Errorf("%s: got %v, want it to name %q", text, err, want)
+			t.Errorf("%s: got %v, want an error containing %q", text, err, want)
 		}
 	}
 }
--- a/internal/invariant/monitor.go
+++ b/internal/invariant/monitor.go
@@ -6,61 +6,61 @@
 	"time"
 )
 
-// logEvery is the least time between two log lines of one rule; what comes between is counted all the same.
-const logEvery = time.Second
+// logInterval is the minimum time between two log lines of one rule. Events in between are still counted.
+const logInterval = time.Second
 
-// Monitor counts, by rule, the steps that were denied and the violations that were found. The zero Monitor is ready
-// for use, by any number of goroutines.
+// Monitor counts denied steps and detected violations by rule. The zero Monitor is ready for use and safe for concurrent
+// use.
 type Monitor struct {
 	denied, violated [ruleCount]atomic.Int64
-	logged           [ruleCount]atomic.Int64 // when a line was last written, in nanoseconds since begin, plus one
-	begin            atomic.Pointer[time.Time]
+	logged           [ruleCount]atomic.Int64 // time of the last log line, in nanoseconds since start plus one; 0: none
+	start            atomic.Pointer[time.Time]
 }
 
-// Deny counts a step that was not made, for it would have broken a rule.
+// Deny counts a step that was not taken because it would have violated a rule.
 func (m *Monitor) Deny(rule Rule) {
 	if rule > None && rule < ruleCount {
 		m.denied[rule].Add(1)
 	}
 }
 
-// Misdirected counts a step that was not made though the decision module asked for it knowing better, and logs the
-// request's id: the module's own rules should have kept it from asking.
-func (m *Monitor) Misdirected(rule Rule, id string, details ...any) {
+// DenyUnexpected counts a denied step that the decision module requested although it had the facts to know better, and
+// logs the request's id: the module's own rules should have prevented the request.
+func (m *Monitor) DenyUnexpected(rule Rule, id string, details ...any) {
 	m.Deny(rule)
-	m.log(rule, "a forbidden step was not made", id, details)
+	m.log(rule, "step denied, the decision module should not have requested it", id, details)
 }
 
-// Violation counts a rule that was broken, and logs the request's id.
+// Violation counts a violated rule and logs the request's id.
 func (m *Monitor) Violation(rule Rule, id string, details ...any) {
 	if rule <= None || rule >= ruleCount {
 		return
 	}
 	m.violated[rule].Add(1)
-	m.log(rule, "a rule was broken", id, details)
+	m.log(rule, "rule violated", id, details)
 }
 
-func (m *Monitor) log(rule Rule, what, id string, details []any) {
+func (m *Monitor) log(rule Rule, msg, id string, details []any) {
 	if rule <= None || rule >= ruleCount {
 		return
 	}
-	first := time.Now()
-	m.begin.CompareAndSwap(nil, &first)
-	now := int64(time.Since(*m.begin.Load())) + 1
+	start := time.Now()
+	m.start.CompareAndSwap(nil, &start)
+	now := int64(time.Since(*m.start.Load())) + 1
 	last := m.logged[rule].Load()
-	if last != 0 && now-last < int64(logEvery) || !m.logged[rule].CompareAndSwap(last, now) {
+	if last != 0 && now-last < int64(logInterval) || !m.logged[rule].CompareAndSwap(last, now) {
 		return
 	}
-	slog.Error("invariant: "+what, append([]any{"rule", rule, "id", id}, details...)...)
+	slog.Error("invariant: "+msg, append([]any{"rule", rule, "id", id}, details...)...)
 }
 
-// Denied is how many steps a rule has denied so far.
+// Denied returns how many steps a rule has denied so far.
 func (m *Monitor) Denied(rule Rule) int64 { return m.denied[rule].Load() }
 
-// Violations is how often a rule was found broken so far.
+// Violations returns how many violations of a rule were detected so far.
 func (m *Monitor) Violations(rule Rule) int64 { return m.violated[rule].Load() }
 
-// Counts returns the rules that denied a step, or were broken, at least once, by name.
+// Counts returns the nonzero counts of denied steps and violations by rule name.
 func (m *Monitor) Counts() (denied, violated map[string]int64) {
 	denied, violated = make(map[string]int64), make(map[string]int64)
 	for _, r := range Rules() {
--- a/internal/invariant/rules.go
+++ b/internal/invariant/rules.go
@@ -1,7 +1,8 @@
-// Package invariant holds the rules that requests, attempts and connections of a node have to keep, as functions of facts
-// that are handed in, and counts how often a rule denied a step and how often one was found broken.
+// Package invariant implements the rules that requests, attempts and connections of a node must satisfy, as functions of
+// facts passed in, and counts denied steps and violations by rule.
 //
-// The rules are those of the operators' PROTOCOL page and of STANDING.md; docs/promises.md lists the paths that keep them.
+// The rules are those of the operators' PROTOCOL page and of STANDING.md; docs/promises.md lists the code paths that
+// enforce them.
 package invariant
 
 import (
@@ -10,28 +11,28 @@
 	"cobaltward/policy"
 )
 
-// Rule names what a step would break, or has broken. None stands for a step that is allowed.
+// Rule is the rule that a step would violate or has violated. None means that the step is allowed.
 type Rule int
 
-// The rules. Their names in logs and metrics are given by String.
+// The rules. String returns their names in logs and metrics.
 const (
 	None                  Rule = iota
 	AttemptAfterAnswer         // an attempt of a request that has its final answer
 	AttemptAfterDeparture      // an attempt whose client has closed its connection
-	AttemptAfterDeadline       // an attempt that nobody waits for any more
+	AttemptAfterDeadline       // an attempt with no client waiting any more
 	TooManyAttempts            // more attempts than limits.maxAttempts
-	BodySpent                  // an attempt of a large body that is not held any more
-	ConcurrentAttempts         // a second attempt out where limits.secondCopies is false
-	UnsafeRepeat               // a further attempt of what may have run and must not run twice
+	BodySpent                  // an attempt with a large body that is no longer buffered
+	ConcurrentAttempts         // a second attempt in flight where limits.secondCopies is false
+	UnsafeRepeat               // a further attempt of a request that may have run and must not run twice
 	RepeatOutsideWindow        // a keyed repeat after its window, or to another group of servers
-	SendToLeavingServer        // an attempt at a server that drains or is gone
-	SendToUnknownServer        // an attempt at a server that the list does not name
-	DeadlineOverstated         // a server told more time than the client has left
-	RefusedAfterEffect         // a promise of no effect for what may have run
-	AnswerLate                 // a final answer later than its grace
-	RequestUnanswered          // a connection ended over a request that was read
-	CloseOverUnreadBytes       // a connection at rest closed though bytes had come
-	ReadAfterShutdown          // bytes read from a connection that the node has given up
+	SendToLeavingServer        // an attempt at a server that is draining or removed
+	SendToUnknownServer        // an attempt at a server that isn't in the list
+	DeadlineOverstated         // a server was given more time than the client has left
+	RefusedAfterEffect         // an answer that promises no effect for a request that may have run
+	AnswerLate                 // a final answer after its grace period
+	RequestUnanswered          // a connection closed with a request read but not answered
+	CloseOverUnreadBytes       // an idle connection closed with received bytes unread
+	ReadAfterShutdown          // bytes read from a connection that the node has abandoned
 	ruleCount
 )
 
@@ -45,7 +46,7 @@
 	CloseOverUnreadBytes: "close_over_unread_bytes", ReadAfterShutdown: "read_after_shutdown",
 }
 
-// String is the rule's name in logs and metrics.
+// String returns the rule's name in logs and metrics.
 func (r Rule) String() string {
 	if r >= 0 && r < ruleCount {
 		return ruleNames[r]
@@ -62,42 +63,42 @@
 	return all
 }
 
-// Figures of the rules.
+// Limits used by the rules.
 const (
-	// DepartureGrace is how long after a client's close an attempt may still begin (TERMS).
+	// DepartureGrace is how long after a client's disconnect an attempt may still start (TERMS).
 	DepartureGrace = 100 * time.Millisecond
-	// DeadlineSlack is by how much a server may be told more time than the client has left (TERMS).
+	// DeadlineSlack is by how much the time given to a server may exceed the time the client has left (TERMS).
 	DeadlineSlack = 150 * time.Millisecond
-	// LeastAttempt is how much of a request's time has to be left for an attempt to begin: servers are told whole
-	// milliseconds, and may drop what has less without a word (STANDING).
-	LeastAttempt = 2 * time.Millisecond
-	// AnswerGrace is how long after the client's time a final answer is still one (STANDING).
+	// MinAttemptTime is the time that a request must have left for an attempt to start: servers are given whole
+	// milliseconds, and may silently drop what has less (STANDING).
+	MinAttemptTime = 2 * time.Millisecond
+	// AnswerGrace is how long after the client's deadline a final answer still counts as on time (STANDING).
 	AnswerGrace = 500 * time.Millisecond
 )
 
-// PriorAttempt is what is known of an attempt that was made before, of the same request.
+// PriorAttempt holds the facts about an earlier attempt of the same request.
 type PriorAttempt struct {
-	Sent       time.Duration // on the clock of Attempt.Now
-	Out        bool          // it has no outcome yet
-	MayHaveRun bool          // no outcome proves that it never ran
-	SameGroup  bool          // the server of the further attempt drops repeats of this one
+	Sent       time.Duration // on the same clock as Attempt.Now
+	InFlight   bool          // it has no outcome yet
+	MayHaveRun bool          // its outcome, if any, doesn't prove that it never ran
+	SameGroup  bool          // the server of the new attempt is in the group that drops repeats of this one
 }
 
-// Attempt is what is known as the decision module asks for an attempt.
+// Attempt holds the facts about an attempt when the decision module requests it.
 type Attempt struct {
 	Now         time.Duration
 	Deadline    time.Duration // when the client stops waiting
 	Answered    bool          // the request has its final answer
 	ClientLeft  bool
-	BodySpent   bool // the body has gone on, and is not held any more
-	MaxAttempts int  // of one request; at least one is allowed
-	Hedging     bool // the site allows two attempts of a request at once
+	BodySpent   bool // the body was forwarded and is no longer buffered
+	MaxAttempts int  // per request; at least one is always allowed
+	Hedging     bool // the site allows two concurrent attempts of a request
 	Repeat      policy.Repeat
-	Window      time.Duration // for policy.Guarded, from the first attempt that may have run
+	Window      time.Duration // for policy.Guarded; starts at the first attempt that may have run
 	Prior       []PriorAttempt
 }
 
-// MayAttempt tells which rule an attempt would break now. It is asked before anything is opened for it.
+// MayAttempt returns the rule that an attempt would violate now. Callers check it before they open a connection for it.
 func MayAttempt(a Attempt) Rule {
 	switch {
 	case a.Answered:
@@ -114,14 +115,14 @@
 	return mayRepeat(a)
 }
 
-// TimeUp tells whether so little is left of a request's time that no attempt may begin.
-func TimeUp(left time.Duration) bool { return left < LeastAttempt }
+// TimeUp reports whether a request has too little time left for an attempt to start.
+func TimeUp(left time.Duration) bool { return left < MinAttemptTime }
 
-// mayRepeat holds the second rule of the contract (WIRE, no duplicate effect).
+// mayRepeat implements the second rule of the contract (WIRE, no duplicate effect).
 func mayRepeat(a Attempt) Rule {
 	firstRun := -1
 	for i, p := range a.Prior {
-		if p.Out && !a.Hedging {
+		if p.InFlight && !a.Hedging {
 			return ConcurrentAttempts
 		}
 		if p.MayHaveRun && firstRun < 0 {
@@ -141,17 +142,17 @@
 	return None
 }
 
-// Write is what is known as the first byte of an attempt is about to be written.
+// Write holds the facts about an attempt just before its first byte is written.
 type Write struct {
-	ClientLeft    bool // by the connection's state just now, or by what was noticed before
+	ClientLeft    bool // by the connection's current state or an earlier observation
 	ServerUnknown bool
 	ServerLeaving bool
 	WindowOver    bool // of a keyed repeat
-	TimeUp        bool // nobody waits any more
+	TimeUp        bool // no client is waiting any more
 }
 
-// MayWrite tells which rule the first byte of an attempt would break now. It is asked just before the write, for a
-// connection may have taken long to come up.
+// MayWrite returns the rule that the first byte of an attempt would violate now. Callers check it just before the write,
+// since establishing a connection may have taken long.
 func MayWrite(w Write) Rule {
 	switch {
 	case w.ServerUnknown:
@@ -168,16 +169,16 @@
 	return None
 }
 
-// MayTell tells whether a server may be told that the client waits for that long, when so much is left of its time.
-func MayTell(told, left time.Duration) Rule {
-	if told > left+DeadlineSlack {
+// MaySendTimeLeft returns the rule that giving a server this much time would violate, with the client's time left.
+func MaySendTimeLeft(sent, left time.Duration) Rule {
+	if sent > left+DeadlineSlack {
 		return DeadlineOverstated
 	}
 	return None
 }
 
-// MayRefuse tells whether a request may be answered with the promise that it had no effect. A keyed one may be while
-// every server drops its repeats.
+// MayRefuse returns the rule that an answer promising that the request had no effect would violate. A keyed request may
+// be refused if every server drops its repeats.
 func MayRefuse(repeat policy.Repeat, group policy.Group, prior []PriorAttempt) Rule {
 	if repeat == policy.Free || repeat == policy.Guarded && group == policy.GroupAll {
 		return None
@@ -190,23 +191,23 @@
 	return None
 }
 
-// InTime tells whether a final answer given now is one, for a client that stops waiting at the deadline.
-func InTime(now, deadline time.Duration) Rule {
+// CheckAnswerTime returns the rule that a final answer now violates, for a client that stops waiting at the deadline.
+func CheckAnswerTime(now, deadline time.Duration) Rule {
 	if now > deadline+AnswerGrace {
 		return AnswerLate
 	}
 	return None
 }
 
-// Connection is what is known of a client's connection that is to be closed, though neither its client nor an answer
-// ends it.
+// Connection holds the facts about a client connection that the node wants to close, where neither the client nor an
+// answer closes it.
 type Connection struct {
-	RequestOpen bool // a whole request in it has no answer yet
-	ReadAhead   int  // bytes that were read, and belong to a request that was not taken up
-	UnreadBytes bool // something has come that nobody has read, or its client has ended it
+	RequestOpen bool // it carries a complete request that isn't answered yet
+	ReadAhead   int  // bytes read that belong to a request not accepted yet
+	UnreadBytes bool // received data or a close by the client hasn't been read yet
 }
 
-// MayClose tells which rule closing a client's connection would break now.
+// MayClose returns the rule that closing a client's connection would violate now.
 func MayClose(c Connection) Rule {
 	switch {
 	case c.RequestOpen || c.ReadAhead > 0:
@@ -217,10 +218,10 @@
 	return None
 }
 
-// MayRead tells whether bytes may be read from a connection. What is read after the node has given it up would be a
-// request that is never answered.
-func MayRead(givenUp bool) Rule {
-	if givenUp {
+// MayRead returns the rule that reading from a connection would violate. Bytes read after the node has abandoned it would
+// be a request that is never answered.
+func MayRead(abandoned bool) Rule {
+	if abandoned {
 		return ReadAfterShutdown
 	}
 	return None
--- a/internal/invariant/rules_test.go
+++ b/internal/invariant/rules_test.go
@@ -16,8 +16,8 @@
 	const second = time.Second
 	plain := Attempt{Now: second, Deadline: 2 * second, MaxAttempts: 3, Window: 4 * second}
 	ran := PriorAttempt{Sent: 0, MayHaveRun: true, SameGroup: true}
-	never := PriorAttempt{Sent: 0}
-	out := PriorAttempt{Out: true, MayHaveRun: true, SameGroup: true}
+	neverRan := PriorAttempt{Sent: 0}
+	inFlight := PriorAttempt{InFlight: true, MayHaveRun: true, SameGroup: true}
 	for name, c := range map[string]struct {
 		change func(*Attempt)
 		want   Rule
@@ -26,16 +26,16 @@
 		"after the answer":                        {func(a *Attempt) { a.Answered = true }, AttemptAfterAnswer},
 		"after the client has left":               {func(a *Attempt) { a.ClientLeft = true }, AttemptAfterDeparture},
 		"at the deadline":                         {func(a *Attempt) { a.Now = a.Deadline }, AttemptAfterDeadline},
-		"with just enough time left":              {func(a *Attempt) { a.Now = a.Deadline - LeastAttempt }, None},
-		"with next to no time left":               {func(a *Attempt) { a.Now = a.Deadline - LeastAttempt + 1 }, AttemptAfterDeadline},
+		"with just enough time left":              {func(a *Attempt) { a.Now = a.Deadline - MinAttemptTime }, None},
+		"with next to no time left":               {func(a *Attempt) { a.Now = a.Deadline - MinAttemptTime + 1 }, AttemptAfterDeadline},
 		"of a body that has gone on":              {func(a *Attempt) { a.BodySpent = true }, BodySpent},
-		"beyond the most":                         {func(a *Attempt) { a.Prior = []PriorAttempt{never, never, never} }, TooManyAttempts},
+		"beyond the most":                         {func(a *Attempt) { a.Prior = []PriorAttempt{neverRan, neverRan, neverRan} }, TooManyAttempts},
 		"a first where none is allowed":           {func(a *Attempt) { a.MaxAttempts = 0 }, None},
-		"a second beside the first":               {func(a *Attempt) { a.Repeat, a.Prior = policy.Free, []PriorAttempt{out} }, ConcurrentAttempts},
-		"a second beside the first, as allowed":   {func(a *Attempt) { a.Repeat, a.Prior, a.Hedging = policy.Free, []PriorAttempt{out}, true }, None},
-		"again what never ran":                    {func(a *Attempt) { a.Prior = []PriorAttempt{never} }, None},
-		"again what may have run":                 {func(a *Attempt) { a.Prior = []PriorAttempt{never, ran} }, UnsafeRepeat},
-		"a second beside one that may not repeat": {func(a *Attempt) { a.Prior, a.Hedging = []PriorAttempt{out}, true }, UnsafeRepeat},
+		"a second beside the first":               {func(a *Attempt) { a.Repeat, a.Prior = policy.Free, []PriorAttempt{inFlight} }, ConcurrentAttempts},
+		"a second beside the first, as allowed":   {func(a *Attempt) { a.Repeat, a.Prior, a.Hedging = policy.Free, []PriorAttempt{inFlight}, true }, None},
+		"again what never ran":                    {func(a *Attempt) { a.Prior = []PriorAttempt{neverRan} }, None},
+		"again what may have run":                 {func(a *Attempt) { a.Prior = []PriorAttempt{neverRan, ran} }, UnsafeRepeat},
+		"a second beside one that may not repeat": {func(a *Attempt) { a.Prior, a.Hedging = []PriorAttempt{inFlight}, true }, UnsafeRepeat},
 		"keyed, in its window":                    {func(a *Attempt) { a.Repeat, a.Prior = policy.Guarded, []PriorAttempt{ran} }, None},
 		"keyed, at the window's end": {func(a *Attempt) { a.Repeat, a.Prior, a.Window = policy.Guarded, []PriorAttempt{ran}, second },
 			RepeatOutsideWindow},
@@ -71,10 +71,10 @@
 }
 
 func TestMayRefuse(t *testing.T) {
-	ran, never := []PriorAttempt{{}, {MayHaveRun: true}}, []PriorAttempt{{}}
+	ran, neverRan := []PriorAttempt{{}, {MayHaveRun: true}}, []PriorAttempt{{}}
 	for name, c := range map[string]struct{ got, want Rule }{
 		"unsafe that may have run":        {MayRefuse(policy.Never, 0, ran), RefusedAfterEffect},
-		"unsafe that never ran":           {MayRefuse(policy.Never, 0, never), None},
+		"unsafe that never ran":           {MayRefuse(policy.Never, 0, neverRan), None},
 		"keyed that all servers know":     {MayRefuse(policy.Guarded, policy.GroupAll, ran), None},
 		"keyed that one zone knows":       {MayRefuse(policy.Guarded, policy.GroupZone, ran), RefusedAfterEffect},
 		"safe":                            {MayRefuse(policy.Free, 0, ran), None},
@@ -88,11 +88,11 @@
 
 func TestTimesAndConnections(t *testing.T) {
 	for name, c := range map[string]struct{ got, want Rule }{
-		"told what is left":            {MayTell(time.Second, time.Second), None},
-		"told a little more":           {MayTell(time.Second+DeadlineSlack, time.Second), None},
-		"told too much":                {MayTell(time.Second+DeadlineSlack+1, time.Second), DeadlineOverstated},
-		"answered in the grace":        {InTime(time.Second+AnswerGrace, time.Second), None},
-		"answered after it":            {InTime(time.Second+AnswerGrace+1, time.Second), AnswerLate},
+		"told what is left":            {MaySendTimeLeft(time.Second, time.Second), None},
+		"told a little more":           {MaySendTimeLeft(time.Second+DeadlineSlack, time.Second), None},
+		"told too much":                {MaySendTimeLeft(time.Second+DeadlineSlack+1, time.Second), DeadlineOverstated},
+		"answered in the grace":        {CheckAnswerTime(time.Second+AnswerGrace, time.Second), None},
+		"answered after it":            {CheckAnswerTime(time.Second+AnswerGrace+1, time.Second), AnswerLate},
 		"a close at rest":              {MayClose(Connection{}), None},
 		"a close over a request":       {MayClose(Connection{RequestOpen: true}), RequestUnanswered},
 		"a close over what was read":   {MayClose(Connection{ReadAhead: 1, UnreadBytes: true}), RequestUnanswered},
@@ -106,7 +106,7 @@
 	}
 }
 
-// Every violation is counted, and one line a second of each rule is logged, with the request's id.
+// Every violation is counted, but each rule logs at most one line per second, with the request's id.
 func TestMonitorCountsAllAndLogsFew(t *testing.T) { synctest.Test(t, testMonitor) }
 
 func testMonitor(t *testing.T) {
@@ -115,15 +115,15 @@
 	slog.SetDefault(slog.New(slog.NewTextHandler(&lines, nil)))
 	defer slog.SetDefault(old)
 	var m Monitor
-	var all sync.WaitGroup
+	var wg sync.WaitGroup
 	for range 20 {
-		all.Go(func() {
+		wg.Go(func() {
 			m.Violation(AnswerLate, "r1", "after", time.Second)
 			m.Deny(ReadAfterShutdown)
-			m.Misdirected(UnsafeRepeat, "r2")
+			m.DenyUnexpected(UnsafeRepeat, "r2")
 		})
 	}
-	all.Wait()
+	wg.Wait()
 	m.Violation(None, "r3")
 	denied, violated := m.Counts()
 	if len(denied) != 2 || denied["read_after_shutdown"] != 20 || denied["unsafe_repeat"] != 20 ||
--- a/internal/logging/writer.go
+++ b/internal/logging/writer.go
@@ -1,4 +1,4 @@
-// Package logging writes log lines to a descriptor without ever holding up those who log.
+// Package logging writes log lines to a descriptor without ever blocking the callers.
 package logging
 
 import (
@@ -9,75 +9,74 @@
 )
 
 const (
-	// queueBytes bounds the lines that wait to be written.
-	queueBytes = 256 << 10
-	// writeBytes bounds what one call writes, but for a single longer line.
-	writeBytes = 32 << 10
+	// maxQueueBytes bounds the queued lines.
+	maxQueueBytes = 256 << 10
+	// maxWriteBytes bounds one write call, except for a single longer line.
+	maxWriteBytes = 32 << 10
 )
 
-// Writer queues lines for a goroutine of its own, which alone waits for the descriptor. Where the queue is full, or the
-// descriptor fails, lines are dropped and counted; the count is written once lines go through again. Make one with
-// NewWriter.
+// Writer queues lines for its goroutine, which alone blocks on the descriptor. If the queue is full or a write fails,
+// lines are dropped and counted; the count is logged before the next lines that are written. Create one with NewWriter.
 type Writer struct {
-	to io.Writer
+	dst io.Writer
 
-	mu      sync.Mutex
-	changed sync.Cond // lines wait, or none do any more
-	lines   [][]byte
-	bytes   int // of these
-	writing bool
-	closed  bool
-	dropped int64 // since the start
-	told    int64 // of these, in the log itself
+	mu          sync.Mutex
+	changed     sync.Cond // signals a change of lines, writing or closed
+	lines       [][]byte
+	queuedBytes int // total length of lines
+	writing     bool
+	closed      bool
+	dropped     int64 // since the start
+	reported    int64 // dropped lines that the log has reported
 }
 
-// NewWriter starts the goroutine, which ends after Close.
-func NewWriter(to io.Writer) *Writer {
-	w := &Writer{to: to}
+// NewWriter returns a Writer and starts its goroutine, which ends after Close.
+func NewWriter(dst io.Writer) *Writer {
+	w := &Writer{dst: dst}
 	w.changed.L = &w.mu
 	go w.run()
 	return w
 }
 
-// Write queues a copy of one line. It never waits for the descriptor, and never fails: what has no room is dropped.
+// Write queues a copy of one line. It never blocks on the descriptor and never fails: a line that doesn't fit is dropped.
 func (w *Writer) Write(line []byte) (int, error) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	if w.closed || len(w.lines) > 0 && w.bytes+len(line) > queueBytes {
+	if w.closed || len(w.lines) > 0 && w.queuedBytes+len(line) > maxQueueBytes {
 		w.dropped++
 		return len(line), nil
 	}
 	w.lines = append(w.lines, append([]byte(nil), line...))
-	w.bytes += len(line)
+	w.queuedBytes += len(line)
 	w.changed.Broadcast()
 	return len(line), nil
 }
 
-// Dropped is how many lines were never written.
+// Dropped returns how many lines were never written.
 func (w *Writer) Dropped() int64 {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.dropped
 }
 
-// Flush waits until all that is queued has been written, but not for longer than the given time.
-func (w *Writer) Flush(within time.Duration) {
-	late := false
-	timer := time.AfterFunc(within, func() {
+// Flush waits until all queued lines have been written, or for the timeout.
+func (w *Writer) Flush(timeout time.Duration) {
+	expired := false
+	timer := time.AfterFunc(timeout, func() {
 		w.mu.Lock()
 		defer w.mu.Unlock()
-		late = true
+		expired = true
 		w.changed.Broadcast()
 	})
 	defer timer.Stop()
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	for (len(w.lines) > 0 || w.writing) && !late {
+	for (len(w.lines) > 0 || w.writing) && !expired {
 		w.changed.Wait()
 	}
 }
 
-// Close has the goroutine end once all that is queued has been written. Lines that come later are dropped.
+// Close ends the goroutine once all queued lines have been written. Later lines are dropped.
 func (w *Writer) Close() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -91,7 +90,7 @@
 		if lines == 0 {
 			return
 		}
-		_, err := w.to.Write(text)
+		_, err := w.dst.Write(text)
 		w.mu.Lock()
 		w.writing = false
 		if err != nil {
@@ -102,8 +101,8 @@
 	}
 }
 
-// next waits for lines and takes as many as one call may write, with the count of those that were dropped before. It
-// takes none once the writer is closed and empty.
+// next waits for lines and removes as many from the queue as one call may write. The text starts with the count of lines
+// dropped since the last report, if any. It returns no lines once the writer is closed and the queue empty.
 func (w *Writer) next() (text []byte, lines int) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -113,14 +112,14 @@
 	if len(w.lines) == 0 {
 		return nil, 0
 	}
-	if w.dropped > w.told {
+	if w.dropped > w.reported {
 		text = fmt.Appendf(text, "time=%s level=WARN msg=\"log lines dropped\" count=%d\n",
-			time.Now().Format(time.RFC3339Nano), w.dropped-w.told)
-		w.told = w.dropped
+			time.Now().Format(time.RFC3339Nano), w.dropped-w.reported)
+		w.reported = w.dropped
 	}
-	for lines < len(w.lines) && (lines == 0 || len(text)+len(w.lines[lines]) <= writeBytes) {
+	for lines < len(w.lines) && (lines == 0 || len(text)+len(w.lines[lines]) <= maxWriteBytes) {
 		text = append(text, w.lines[lines]...)
-		w.bytes -= len(w.lines[lines])
+		w.queuedBytes -= len(w.lines[lines])
 		w.lines[lines] = nil
 		lines++
 	}
--- a/internal/logging/writer_test.go
+++ b/internal/logging/writer_test.go
@@ -13,20 +13,20 @@
 	"time"
 )
 
-// gate is a descriptor that can be made to wait, or to fail.
-type gate struct {
-	mu    sync.Mutex
-	shut  chan struct{} // nil: it is open
-	fails bool
-	got   bytes.Buffer
+// gatedWriter stands in for a descriptor whose writes can be made to block or to fail.
+type gatedWriter struct {
+	mu      sync.Mutex
+	blocked chan struct{} // non-nil while writes block until it is closed
+	fails   bool
+	got     bytes.Buffer
 }
 
-func (g *gate) Write(p []byte) (int, error) {
+func (g *gatedWriter) Write(p []byte) (int, error) {
 	g.mu.Lock()
-	shut, fails := g.shut, g.fails
+	blocked, fails := g.blocked, g.fails
 	g.mu.Unlock()
-	if shut != nil {
-		<-shut
+	if blocked != nil {
+		<-blocked
 	}
 	if fails {
 		return 0, errors.New("no reader")
@@ -36,31 +36,31 @@
 	return g.got.Write(p)
 }
 
-// open lets all writes through, also those that wait.
-func (g *gate) open() {
+// release lets all writes through, including blocked ones.
+func (g *gatedWriter) release() {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	close(g.shut)
-	g.shut = nil
+	close(g.blocked)
+	g.blocked = nil
 }
 
-// letOneThrough lets the write that waits go on; later ones wait again.
-func (g *gate) letOneThrough() {
+// releaseOne lets the blocked write through; later ones block again.
+func (g *gatedWriter) releaseOne() {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	close(g.shut)
-	g.shut = make(chan struct{})
+	close(g.blocked)
+	g.blocked = make(chan struct{})
 }
 
-func (g *gate) text() string {
+func (g *gatedWriter) text() string {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.got.String()
 }
 
-func TestLinesComeWholeAndInOrder(t *testing.T) {
-	g := &gate{}
-	w := NewWriter(g)
+func TestLinesAreWrittenCompletelyInOrder(t *testing.T) {
+	dst := &gatedWriter{}
+	w := NewWriter(dst)
 	defer w.Close()
 	want := ""
 	for i := range 1000 {
@@ -71,13 +71,13 @@
 		}
 	}
 	w.Flush(time.Minute)
-	if got := g.text(); got != want || w.Dropped() != 0 {
+	if got := dst.text(); got != want || w.Dropped() != 0 {
 		t.Errorf("%d bytes of %d, %d dropped", len(got), len(want), w.Dropped())
 	}
 }
 
-// toldDropped adds up the counts in the lines by which the log tells of dropped ones.
-func toldDropped(t *testing.T, text string) (sum int64) {
+// reportedDrops adds up the counts of the "log lines dropped" lines.
+func reportedDrops(t *testing.T, text string) (sum int64) {
 	t.Helper()
 	for _, match := range regexp.MustCompile(`msg="log lines dropped" count=(\d+)\n`).FindAllStringSubmatch(text, -1) {
 		count, err := strconv.ParseInt(match[1], 10, 64)
@@ -89,19 +89,19 @@
 	return sum
 }
 
-// A descriptor that takes nothing holds nobody up: what has no room is dropped and counted, and a flush ends in time.
-func TestStalledDescriptorHoldsUpNobody(t *testing.T) {
+// A blocked descriptor blocks no caller: lines that don't fit are dropped and counted, and a flush ends at its timeout.
+func TestBlockedDescriptorBlocksNoCaller(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		g := &gate{shut: make(chan struct{})}
-		w := NewWriter(g)
+		dst := &gatedWriter{blocked: make(chan struct{})}
+		w := NewWriter(dst)
 		defer w.Close()
 		line := []byte(strings.Repeat("x", 999) + "\n")
 		const (
-			lines  = 3 * queueBytes / 1000
-			queued = queueBytes / 1000
+			lines  = 3 * maxQueueBytes / 1000
+			queued = maxQueueBytes / 1000
 		)
 		_, _ = w.Write(line)
-		synctest.Wait() // the writer's goroutine waits for the descriptor with this line alone
+		synctest.Wait() // the writer's goroutine is blocked writing this line alone
 		for range lines - 1 {
 			_, _ = w.Write(line)
 		}
@@ -114,33 +114,33 @@
 		if want := int64(lines - 1 - queued); dropped != want {
 			t.Errorf("%d of %d lines dropped, want %d", dropped, lines, want)
 		}
-		g.open()
+		dst.release()
 		w.Flush(time.Minute)
-		text := g.text()
+		text := dst.text()
 		if n := strings.Count(text, string(line)); int64(n)+dropped != lines {
 			t.Errorf("%d lines written, %d dropped of %d", n, dropped, lines)
 		}
-		if told := fmt.Sprintf(`msg="log lines dropped" count=%d`, dropped); !strings.Contains(text, told) {
-			t.Errorf("the log does not tell of the %d lines", dropped)
+		if report := fmt.Sprintf(`msg="log lines dropped" count=%d`, dropped); !strings.Contains(text, report) {
+			t.Errorf("the log does not report the %d dropped lines", dropped)
 		}
 	})
 }
 
-// Where lines are dropped again behind the line that tells of them, the log tells of the rest, and of none twice.
-func TestLinesDroppedInTwoPartsAreToldOnceEach(t *testing.T) {
+// Lines dropped while the report of earlier drops is still being written are reported later, and none is reported twice.
+func TestRepeatedDropsAreReportedOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		g := &gate{shut: make(chan struct{})}
-		w := NewWriter(g)
+		dst := &gatedWriter{blocked: make(chan struct{})}
+		w := NewWriter(dst)
 		defer w.Close()
 		line := []byte(strings.Repeat("x", 999) + "\n")
-		const full = queueBytes / 1000 // lines that fill the queue
+		const full = maxQueueBytes / 1000 // lines that fill the queue
 		_, _ = w.Write(line)
 		synctest.Wait()
 		for range full + 5 {
 			_, _ = w.Write(line)
 		}
-		g.letOneThrough()
-		synctest.Wait() // the first line is written; the next write holds the word of five, and waits
+		dst.releaseOne()
+		synctest.Wait() // the first line is written; the next write, with the report of five, is blocked
 		for range full {
 			_, _ = w.Write(line)
 		}
@@ -148,42 +148,42 @@
 		if dropped <= 5 {
 			t.Fatalf("%d lines dropped, want more than the first five", dropped)
 		}
-		g.open()
+		dst.release()
 		w.Flush(time.Minute)
-		text := g.text()
+		text := dst.text()
 		if !strings.Contains(text, `msg="log lines dropped" count=5`+"\n") {
-			t.Error("the log does not tell of the first five")
+			t.Error("the log does not report the first five")
 		}
-		if told := toldDropped(t, text); told != dropped {
-			t.Errorf("the log tells of %d lines, %d were dropped", told, dropped)
+		if reported := reportedDrops(t, text); reported != dropped {
+			t.Errorf("the log reports %d lines, %d were dropped", reported, dropped)
 		}
 	})
 }
 
-// However the writer's goroutine is scheduled among those who log, the log tells of each dropped line once.
-func TestDroppedLinesAreToldInAnyOrder(t *testing.T) {
+// However the writer's goroutine is scheduled relative to the callers, each dropped line is reported once.
+func TestDropsAreReportedOnceUnderAnyScheduling(t *testing.T) {
 	line := []byte(strings.Repeat("x", 999) + "\n")
 	for range 50 {
-		g := &gate{}
-		w := NewWriter(g)
-		for range 3 * queueBytes / len(line) {
+		dst := &gatedWriter{}
+		w := NewWriter(dst)
+		for range 3 * maxQueueBytes / len(line) {
 			_, _ = w.Write(line)
 		}
 		w.Flush(time.Minute)
 		before := w.Dropped()
-		_, _ = w.Write(line) // tells of what was dropped last
+		_, _ = w.Write(line) // is preceded by the report of the last drops
 		w.Flush(time.Minute)
 		w.Close()
-		if told := toldDropped(t, g.text()); told != before || w.Dropped() != before {
-			t.Fatalf("the log tells of %d lines, %d were dropped", told, before)
+		if reported := reportedDrops(t, dst.text()); reported != before || w.Dropped() != before {
+			t.Fatalf("the log reports %d lines, %d were dropped", reported, before)
 		}
 	}
 }
 
-// Lines that the descriptor refuses are counted.
-func TestRefusedLinesAreCounted(t *testing.T) {
-	g := &gate{fails: true}
-	w := NewWriter(g)
+// Lines whose write fails are counted as dropped.
+func TestFailedWritesAreCounted(t *testing.T) {
+	dst := &gatedWriter{fails: true}
+	w := NewWriter(dst)
 	defer w.Close()
 	for range 5 {
 		_, _ = w.Write([]byte("line\n"))
--- a/internal/node/accept.go
+++ b/internal/node/accept.go
@@ -9,10 +9,10 @@
 	"cobaltward/internal/syserr"
 )
 
-// Pauses of a listener whose accept failed: some errors last for as long as descriptors are short.
+// Pauses between failed accepts; errors such as a shortage of file descriptors may persist for a while.
 const (
-	acceptPause     = time.Millisecond
-	acceptPauseMost = 100 * time.Millisecond
+	minAcceptPause = time.Millisecond
+	maxAcceptPause = 100 * time.Millisecond
 )
 
 func acceptOnce(l net.Listener) (net.Conn, error) {
@@ -22,14 +22,14 @@
 	return l.Accept()
 }
 
-// acceptPatiently accepts the next connection. Linux hands on errors of the connection itself through accept(2), and
-// those of what the system lacks for a moment; net/http would take most of them for the listener's end. It returns an
-// error only once the listener is closed or can never accept.
-func acceptPatiently(l net.Listener) (net.Conn, error) {
-	backoff := syserr.Backoff{First: acceptPause, Most: acceptPauseMost}
+// acceptWithRetry accepts the next connection. accept(2) on Linux also returns pending errors of the new connection and
+// temporary resource shortages; net/http would treat most of them as the end of the listener. acceptWithRetry retries
+// them and returns an error only if the listener is closed or can never accept.
+func acceptWithRetry(l net.Listener) (net.Conn, error) {
+	backoff := syserr.Backoff{Initial: minAcceptPause, Max: maxAcceptPause}
 	for {
 		conn, err := acceptOnce(l)
-		if err == nil || syserr.Classify(err) == syserr.Final {
+		if err == nil || syserr.Classify(err) == syserr.Permanent {
 			return conn, err
 		}
 		pause := backoff.Next()
--- a/internal/node/admin.go
+++ b/internal/node/admin.go
@@ -11,30 +11,30 @@
 )
 
 const (
-	adminCalls   = 12                      // calls at once; a further one takes the oldest one's place
-	adminSockets = adminCalls + 2          // descriptors that are the admin listener alone
-	adminTimeout = 2500 * time.Millisecond // for a call and its answer: what is no call is owed a close within 3 s
-	adminHeader  = 4 << 10                 // bytes of a call's head
+	maxAdminConns  = 12                      // concurrent connections; a further one replaces the oldest
+	adminSockets   = maxAdminConns + 2       // file descriptors reserved for the admin listener
+	adminTimeout   = 2500 * time.Millisecond // for request and response; invalid connections must be closed within 3 s
+	maxAdminHeader = 4 << 10                 // bytes of a request's head
 )
 
-// adminServer is where operators talk to the node. It has a server, descriptors and time limits of its own and
-// reads atomics only, so that it answers at once whatever becomes of the clients and the loop.
+// adminServer serves the operators' endpoints. It has its own HTTP server, file descriptors and timeouts and reads only
+// atomics, so it responds at once whatever the state of the clients and of the loop.
 type adminServer struct {
-	http  http.Server
-	calls adminListener
+	http     http.Server
+	listener adminListener
 }
 
-// startAdmin serves operators on the listener until the server is closed.
+// startAdmin serves operators on l until the server is closed.
 func startAdmin(l net.Listener, name string, life *lifecycle, metrics http.Handler) *adminServer {
-	d := &adminServer{calls: adminListener{Listener: l}}
+	d := &adminServer{listener: adminListener{Listener: l}}
 	d.http = http.Server{
-		Handler: adminHandler(name, life, metrics), MaxHeaderBytes: adminHeader, DisableGeneralOptionsHandler: true,
+		Handler: adminHandler(name, life, metrics), MaxHeaderBytes: maxAdminHeader, DisableGeneralOptionsHandler: true,
 		ReadTimeout: adminTimeout, WriteTimeout: adminTimeout,
 		ErrorLog: slog.NewLogLogger(slog.Default().Handler(), slog.LevelDebug),
 	}
-	d.http.SetKeepAlivesEnabled(false) // one call to a connection
+	d.http.SetKeepAlivesEnabled(false) // one request per connection
 	go func() {
-		if err := d.http.Serve(&d.calls); err != http.ErrServerClosed {
+		if err := d.http.Serve(&d.listener); err != http.ErrServerClosed {
 			slog.Error("operator: the admin listener has ended", "err", err)
 		}
 	}()
@@ -43,7 +43,7 @@
 
 func (d *adminServer) close() { d.http.Close() }
 
-// adminHandler answers the endpoints, each with the one method that it takes.
+// adminHandler serves the admin endpoints, each of which accepts a single method.
 func adminHandler(name string, life *lifecycle, metrics http.Handler) http.Handler {
 	command := func(call func() error) http.HandlerFunc {
 		return func(w http.ResponseWriter, r *http.Request) {
@@ -53,7 +53,7 @@
 				http.Error(w, err.Error(), http.StatusConflict)
 				return
 			}
-			tellStatus(w, http.StatusOK, name, life)
+			writeStatus(w, http.StatusOK, name, life)
 		}
 	}
 	endpoints := map[string]struct {
@@ -65,14 +65,14 @@
 			if !life.ready() {
 				status = http.StatusServiceUnavailable
 			}
-			tellStatus(w, status, name, life)
+			writeStatus(w, status, name, life)
 		}},
 		"/metrics": {http.MethodGet, "GET, HEAD", metrics.ServeHTTP},
-		"/standby": {http.MethodPost, "POST", command(func() error { life.standBy(); return nil })},
+		"/standby": {http.MethodPost, "POST", command(func() error { life.enterStandby(); return nil })},
 		"/active":  {http.MethodPost, "POST", command(life.activate)},
 	}
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		// Said outright, it also keeps net/http from reading a body to its end before it answers.
+		// Also keeps net/http from reading a request body to its end before it responds.
 		w.Header().Set("Connection", "close")
 		endpoint, ok := endpoints[r.URL.Path]
 		switch {
@@ -87,7 +87,7 @@
 	})
 }
 
-func tellStatus(w http.ResponseWriter, status int, name string, life *lifecycle) {
+func writeStatus(w http.ResponseWriter, status int, name string, life *lifecycle) {
 	p := life.phase()
 	text, err := json.Marshal(struct {
 		Name  string `json:"name"`
@@ -100,35 +100,35 @@
 	}
 	w.Header().Set("Content-Type", "application/json")
 	w.WriteHeader(status)
-	_, _ = w.Write(append(text, '\n')) // the caller may have left
+	_, _ = w.Write(append(text, '\n')) // fails only if the caller has disconnected
 }
 
-// adminListener bounds the connections. A call takes no time, so whoever has been here longest is
-// the one who finishes no call, and makes room.
+// adminListener limits the number of open connections. Requests are answered at once, so the connection that has been
+// open longest is the one that sends no complete request, and is closed to make room.
 type adminListener struct {
 	net.Listener
 	mu   sync.Mutex
-	open linked.List // of *adminConn, the oldest in front
+	open linked.List // of *adminConn, oldest first
 }
 
 type adminConn struct {
 	net.Conn
-	owner *adminListener
-	at    *linked.Element // nil once it is closed
+	owner   *adminListener
+	element *linked.Element // nil after Close
 }
 
 func (l *adminListener) Accept() (net.Conn, error) {
-	conn, err := acceptPatiently(l.Listener)
+	conn, err := acceptWithRetry(l.Listener)
 	if err != nil {
 		return nil, err
 	}
 	c := &adminConn{Conn: conn, owner: l}
 	l.mu.Lock()
 	var oldest *adminConn
-	if l.open.Len() >= adminCalls {
+	if l.open.Len() >= maxAdminConns {
 		oldest = l.open.Front().Value.(*adminConn)
 	}
-	c.at = l.open.PushBack(c)
+	c.element = l.open.PushBack(c)
 	l.mu.Unlock()
 	if oldest != nil {
 		oldest.Close()
@@ -138,9 +138,9 @@
 
 func (c *adminConn) Close() error {
 	c.owner.mu.Lock()
-	if c.at != nil {
-		c.owner.open.Remove(c.at)
-		c.at = nil
+	if c.element != nil {
+		c.owner.open.Remove(c.element)
+		c.element = nil
 	}
 	c.owner.mu.Unlock()
 	return c.Conn.Close()
--- a/internal/node/admin_test.go
+++ b/internal/node/admin_test.go
@@ -63,7 +63,7 @@
 
 func TestAdminAnswersCalls(t *testing.T) {
 	var life lifecycle
-	defer life.end()
+	defer life.stopDraining()
 	addr := testAdminServer(t, &life)
 	for _, c := range []struct {
 		method, path string
@@ -93,9 +93,9 @@
 	} {
 		switch c.method {
 		case "LOAD":
-			life.load()
+			life.markServersKnown()
 		case "LEAVE":
-			life.leave(time.Second)
+			life.beginLeaving(time.Second)
 		default:
 			if got := call(t, addr, c.method, strings.ReplaceAll(c.path, " ", "%20")); got != c.want {
 				t.Errorf("%s %s: %d, want %d", c.method, c.path, got, c.want)
@@ -154,9 +154,9 @@
 // Callers who finish no call keep nobody out, however many they are.
 func TestAdminStaysOpenToOthers(t *testing.T) {
 	var life lifecycle
-	life.load()
+	life.markServersKnown()
 	addr := testAdminServer(t, &life)
-	for i := range 4 * adminCalls {
+	for i := range 4 * maxAdminConns {
 		c, err := net.Dial("tcp", addr)
 		if err != nil {
 			t.Fatal(err)
--- a/internal/node/attempts.go
+++ b/internal/node/attempts.go
@@ -9,114 +9,117 @@
 	"cobaltward/policy"
 )
 
+// attempt is one attempt of a request at a server, as the loop records it.
 type attempt struct {
 	server string
 	group  serverGroup
-	sent   policy.Time
+	sentAt policy.Time
 	cancel context.CancelFunc
-	over   bool // it has its outcome
+	ended  bool // its outcome is known
 	code   policy.Code
 	took   time.Duration // for the log
 }
 
-// serverGroup is what decides which other servers drop the repeats of what a server was sent.
+// serverGroup identifies the servers that share duplicate detection: within a group, a repeat of a request that one
+// server received is dropped by the others.
 type serverGroup struct {
 	zone string
 	cell int64
 }
 
-// outcome names how an attempt ended; "out" where it hasn't.
+// outcome returns the name of the attempt's outcome, or "out" while it is in progress.
 func (a attempt) outcome() string {
-	if !a.over {
+	if !a.ended {
 		return "out"
 	}
 	return a.code.String()
 }
 
-// attempt sends a request out, unless it is too late or too often for that: then it is skipped.
-func (l *loop) attempt(ctx context.Context, a policy.Action) {
+// startAttempt starts an attempt of a request in its own goroutine, or skips it if a rule forbids it.
+func (l *loop) startAttempt(ctx context.Context, a policy.Action) {
 	r, now := l.requests[a.ID], l.clock.now()
 	if r == nil {
-		slog.Error("the module sends a request that is not open")
+		slog.Error("decision module sent a request that is not open")
 		return
 	}
 	n := len(r.attempts)
-	if denied := l.mayAttempt(r, a, now); denied != invariant.None {
-		l.skip(r, a, now, denied)
+	if denied := l.checkAttempt(r, a, now); denied != invariant.None {
+		l.skipAttempt(r, a, now, denied)
 		return
 	}
-	if !r.try() { // its handler has answered, or its client has left
-		l.skip(r, a, now, invariant.AttemptAfterAnswer)
+	if !r.beginAttempt() { // its handler has responded, or its client has left
+		l.skipAttempt(r, a, now, invariant.AttemptAfterAnswer)
 		return
 	}
 	if n == 0 {
-		l.metrics.heldTime.WithLabelValues(heldUntilSent).Observe((now - r.came).Seconds())
+		l.metrics.holdTime.WithLabelValues(heldUntilSent).Observe((now - r.arrivedAt).Seconds())
 	}
-	r.pending++
-	until := r.deadline
+	r.pendingAttempts++
+	deadline := r.deadline
 	if a.Until > 0 {
-		until = min(until, a.Until)
+		deadline = min(deadline, a.Until)
 	}
-	var by time.Time
+	var beginBy time.Time
 	if a.By > 0 {
-		by = l.clock.at(a.By)
+		beginBy = l.clock.toTime(a.By)
 	}
 	if n > 0 {
 		l.metrics.retries.WithLabelValues(r.attempts[n-1].outcome()).Inc()
 	}
 	ctx, cancel := context.WithCancel(ctx)
-	l.lastSent[a.Server] = sending{a.ID, now}
-	r.attempts = append(r.attempts, attempt{server: a.Server, group: l.groupOf(a.Server), sent: now, cancel: cancel})
-	l.attempts.Go(func() {
+	l.lastSent[a.Server] = sentRequest{a.ID, now}
+	r.attempts = append(r.attempts, attempt{server: a.Server, group: l.groupOf(a.Server), sentAt: now, cancel: cancel})
+	l.runningAttempts.Go(func() {
 		defer cancel()
-		l.up.attempt(ctx, a.Server, r.clientRequest, attemptHost{
-			until:       l.clock.at(until),
-			clientWaits: l.clock.at(r.came + r.clientWaits),
-			by:          by,
-			left:        r.left,
-			uploaded: func(took time.Duration) {
-				r.postpone(l.clock, took)
-				l.send(uploaded{r, took})
+		l.upstream.sendAttempt(ctx, a.Server, r.clientRequest, attemptParams{
+			deadline:       l.clock.toTime(deadline),
+			clientDeadline: l.clock.toTime(r.arrivedAt + r.clientTimeout),
+			beginBy:        beginBy,
+			clientGone:     r.ctx,
+			onUploaded: func(took time.Duration) {
+				r.postponeHandler(l.clock, took)
+				l.send(uploadEnd{r, took})
 			},
-			end: func(e result) { l.send(ending{r, n, e}) },
+			onEnd: func(e attemptResult) { l.send(attemptEnd{r, n, e}) },
 		})
 	})
 }
 
-// mayAttempt puts the facts of an attempt that the module wants before the rules.
-func (l *loop) mayAttempt(r *request, a policy.Action, now policy.Time) invariant.Rule {
+// checkAttempt returns the rule that an attempt requested by the decision module would break, or invariant.None.
+func (l *loop) checkAttempt(r *request, a policy.Action, now policy.Time) invariant.Rule {
 	class := l.classes[r.req.Class]
 	return invariant.MayAttempt(invariant.Attempt{
-		Now: now, Deadline: r.deadline, Answered: r.ended, ClientLeft: r.left.Err() != nil,
-		// Of a large body, what has gone on is not held any more: no attempt beside or after that.
-		BodySpent:   r.rest != nil && (r.rest.begun.Load() || r.pending > 0),
+		Now: now, Deadline: r.deadline, Answered: r.ended, ClientLeft: r.ctx.Err() != nil,
+		// The forwarded part of a large body is no longer in memory: no concurrent or later attempt can send it.
+		BodySpent:   r.bodyRest != nil && (r.bodyRest.forwarded.Load() || r.pendingAttempts > 0),
 		MaxAttempts: l.allowed.MaxAttempts, Hedging: l.allowed.Hedge, Repeat: class.Repeat, Window: class.Window,
-		Prior: l.prior(r, class, a.Server),
+		Prior: l.priorAttempts(r, class, a.Server),
 	})
 }
 
-// prior tells the rules of a request's attempts so far, as seen from a further one at the given server.
-func (l *loop) prior(r *request, class policy.Class, server string) []invariant.PriorAttempt {
+// priorAttempts describes a request's attempts so far to the rules, relative to a further attempt at the given server.
+func (l *loop) priorAttempts(r *request, class policy.Class, server string) []invariant.PriorAttempt {
 	if len(r.attempts) == 0 {
 		return nil
 	}
 	group := l.groupOf(server)
 	prior := make([]invariant.PriorAttempt, len(r.attempts))
 	for i, a := range r.attempts {
-		prior[i] = invariant.PriorAttempt{Sent: a.sent, Out: !a.over, MayHaveRun: !a.over || !a.code.NotRun(),
+		prior[i] = invariant.PriorAttempt{Sent: a.sentAt, InFlight: !a.ended, MayHaveRun: !a.ended || !a.code.NotRun(),
 			SameGroup: sameGroup(class.Group, a.group, group)}
 	}
 	return prior
 }
 
-// groupOf is the group of a listed server; of one that isn't, none.
+// groupOf returns the group of a listed server, or the zero group of any other.
 func (l *loop) groupOf(server string) serverGroup {
 	m := l.members[server]
 	return serverGroup{m.Zone, m.Cell}
 }
 
-func sameGroup(by policy.Group, a, b serverGroup) bool {
-	switch by {
+// sameGroup reports whether two groups are the same under the given kind of grouping.
+func sameGroup(kind policy.Group, a, b serverGroup) bool {
+	switch kind {
 	case policy.GroupAll:
 		return true
 	case policy.GroupZone:
@@ -125,17 +128,18 @@
 	return a.cell == b.cell
 }
 
-// skip tells the module that an attempt was not made. Some of these it can't know better: an answer or the deadline may
-// come between its decision and this.
-func (l *loop) skip(r *request, a policy.Action, now policy.Time, denied invariant.Rule) {
+// skipAttempt records that an attempt was not made, for the decision module to be told. Rules that the module should have
+// obeyed itself are logged; the others it may break without a fault of its own, since a response or the deadline can
+// come between its decision and the attempt.
+func (l *loop) skipAttempt(r *request, a policy.Action, now policy.Time, denied invariant.Rule) {
 	switch denied {
 	case invariant.ConcurrentAttempts, invariant.UnsafeRepeat, invariant.RepeatOutsideWindow:
-		l.monitor.Misdirected(denied, a.ID, "server", a.Server, "attempts", r.history())
+		l.monitor.DenyUnexpected(denied, a.ID, "server", a.Server, "attempts", r.history())
 	default:
 		l.monitor.Deny(denied)
 	}
 	n := len(r.attempts)
-	r.pending++
-	r.attempts = append(r.attempts, attempt{server: a.Server, sent: now, cancel: func() {}, over: true, code: policy.NotSent})
-	l.skipped = append(l.skipped, policy.Outcome{ID: a.ID, Server: a.Server, Attempt: n, Code: policy.NotSent})
+	r.pendingAttempts++
+	r.attempts = append(r.attempts, attempt{server: a.Server, sentAt: now, cancel: func() {}, ended: true, code: policy.NotSent})
+	l.skippedOutcomes = append(l.skippedOutcomes, policy.Outcome{ID: a.ID, Server: a.Server, Attempt: n, Code: policy.NotSent})
 }
--- a/internal/node/bodies.go
+++ b/internal/node/bodies.go
@@ -10,15 +10,15 @@
 )
 
 const (
-	// A client may send a body at 64 kB a second, in pieces of any size. Only the time in which the node waits for
-	// it counts, so that back-pressure harms nobody.
-	slowestBody = 48 << 10 // bytes a second
-	bodyGrace   = 2500 * time.Millisecond
-	leastGrace  = 700 * time.Millisecond // for a first piece that comes late
-	badPeerEnd  = 2900 * time.Millisecond
-	flowRate    = 32 << 20              // bytes a second of one body for each core: some hundredths of it
-	flowStep    = time.Millisecond      // the least worth a wait
-	leastWait   = 20 * time.Millisecond // for bytes that have come already
+	// Clients are allowed to send a body as slowly as 64 kB/s, in pieces of any size; minBodyRate leaves a margin below
+	// that. Only the time that the node spends waiting for data counts, so back-pressure doesn't penalize a client.
+	minBodyRate     = 48 << 10 // bytes per second
+	bodyGrace       = 2500 * time.Millisecond
+	minReadGrace    = 700 * time.Millisecond // for a first piece that arrives late
+	slowClientLimit = 2900 * time.Millisecond
+	bodyRatePerCore = 32 << 20              // bytes per second of one body and core, which takes a few hundredths of a core
+	minRateWait     = time.Millisecond      // shorter waits are skipped
+	minReadWait     = 20 * time.Millisecond // allowed even without time left, for data that has already arrived
 )
 
 var (
@@ -29,37 +29,37 @@
 	errStopped  = errors.New("the body is not wanted any more")
 )
 
-// upload is a request's body as it comes from a client.
+// upload is a request body that is being received from a client.
 type upload struct {
 	conn   *http.ResponseController
-	client *clientConn // nil where others accepted it
+	client *clientConn // nil if the connection was accepted by another listener
 	body   io.Reader
 	grace  time.Duration
-	left   chan struct{} // closed when the body can't come whole, by the client's doing
+	failed chan struct{} // closed when the body can't be received completely, through the client's fault
 
 	mu      sync.Mutex
 	stopped bool
-	ended   bool  // the last byte was read
-	err     error // why left is closed
-
-	// Only the one who reads touches these.
-	flow   flow
-	waited time.Duration
-	got    int64
-	begun  atomic.Bool // bytes beyond those held have gone on: it can't be sent again
+	ended   bool  // the last byte has been read
+	err     error // why failed was closed
+
+	// Used only by the goroutine that reads the body.
+	limiter   rateLimiter
+	waited    time.Duration
+	received  int64
+	forwarded atomic.Bool // bytes beyond the held ones have been forwarded, so the body can't be sent again
 }
 
-// newUpload reads a body whose request's head began to come a while ago: a peer that dribbles both is owed
-// an end in time.
-func newUpload(w http.ResponseWriter, client *clientConn, body io.Reader, ago time.Duration, rate float64) *upload {
-	return &upload{conn: http.NewResponseController(w), client: client, body: body, left: make(chan struct{}), flow: flow{rate: rate},
-		grace: min(bodyGrace, max(leastGrace, badPeerEnd-ago))}
+// newUpload reads the body of a request whose head began to arrive the given time ago. Head and body share
+// slowClientLimit, so that a client that sends both very slowly is disconnected in time.
+func newUpload(w http.ResponseWriter, client *clientConn, body io.Reader, elapsed time.Duration, rate float64) *upload {
+	return &upload{conn: http.NewResponseController(w), client: client, body: body, failed: make(chan struct{}), limiter: rateLimiter{rate: rate},
+		grace: min(bodyGrace, max(minReadGrace, slowClientLimit-elapsed))}
 }
 
 func (u *upload) Read(p []byte) (int, error) {
-	u.flow.wait()
-	allowed := u.grace + time.Duration(float64(u.got)/slowestBody*float64(time.Second)) - u.waited
-	if allowed <= -leastWait {
+	u.limiter.wait()
+	allowed := u.grace + time.Duration(float64(u.received)/minBodyRate*float64(time.Second)) - u.waited
+	if allowed <= -minReadWait {
 		return 0, u.fail(errTooSlow)
 	}
 	u.mu.Lock()
@@ -67,25 +67,25 @@
 		u.mu.Unlock()
 		return 0, errStopped
 	}
-	_ = u.conn.SetReadDeadline(time.Now().Add(max(leastWait, allowed))) // fails only on connections that are gone
+	_ = u.conn.SetReadDeadline(time.Now().Add(max(minReadWait, allowed))) // fails only on closed connections
 	u.mu.Unlock()
 	began := time.Now()
 	n, err := u.body.Read(p)
 	u.waited += time.Since(began)
-	u.got += int64(n)
-	u.flow.add(n)
+	u.received += int64(n)
+	u.limiter.add(n)
 	switch {
-	case u.got > maxBody:
+	case u.received > maxBodySize:
 		return 0, u.fail(errTooLarge)
 	case err == io.EOF:
 		u.mu.Lock()
 		defer u.mu.Unlock()
 		u.ended = true
-		u.client.complete()
+		u.client.markBodyRead()
 		if u.stopped {
 			break
 		}
-		// From now on net/http reads on to notice a client that leaves, which may take as long as the answer.
+		// From here on net/http keeps reading to detect a client that disconnects, for as long as the response takes.
 		_ = u.conn.SetReadDeadline(time.Time{})
 	case err != nil:
 		return n, u.fail(err)
@@ -93,18 +93,18 @@
 	return n, err
 }
 
-// fail notes that the client's body won't come whole.
+// fail records that the client won't send the complete body.
 func (u *upload) fail(err error) error {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	if u.err == nil && !u.stopped {
 		u.err = err
-		close(u.left)
+		close(u.failed)
 	}
 	return err
 }
 
-// stop ends a read that waits for the client, and all later ones.
+// stop interrupts a read that waits for the client, and makes all later reads fail.
 func (u *upload) stop() {
 	u.mu.Lock()
 	defer u.mu.Unlock()
@@ -112,49 +112,49 @@
 	_ = u.conn.SetReadDeadline(time.Unix(1, 0))
 }
 
-// whole tells whether the last byte was read.
-func (u *upload) whole() bool {
+// isComplete reports whether the last byte has been read.
+func (u *upload) isComplete() bool {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	return u.ended
 }
 
-// failure is why the body can't come whole, or nil.
+// failure returns why the body can't be received completely, or nil.
 func (u *upload) failure() error {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	return u.err
 }
 
-// flow keeps one large body from taking the processor from all others: nobody is in such a hurry with it, and
-// what it takes in a burst, others lack for a while where the node has only a part of a core.
-type flow struct {
-	rate  float64 // bytes a second
+// rateLimiter limits the rate of one large body, so that it doesn't starve other requests of processor time. Large
+// bodies aren't urgent, while a burst delays everything else on a node that has only a fraction of a core.
+type rateLimiter struct {
+	rate  float64 // bytes per second
 	until time.Time
 }
 
-// wait lets time pass until the bytes so far fit the rate.
-func (f *flow) wait() {
-	if d := time.Until(f.until); d >= flowStep {
+// wait sleeps until the bytes so far are within the rate.
+func (f *rateLimiter) wait() {
+	if d := time.Until(f.until); d >= minRateWait {
 		time.Sleep(d)
 	}
 }
 
-func (f *flow) add(n int) {
+func (f *rateLimiter) add(n int) {
 	if now := time.Now(); f.until.Before(now) {
 		f.until = now
 	}
 	f.until = f.until.Add(time.Duration(float64(n) / f.rate * float64(time.Second)))
 }
 
-// download is the part of a server's answer that goes on as it comes. Whoever has it must end it.
+// download is the part of a server's response that is streamed to the client. Whoever holds it must call end.
 type download struct {
 	rest   io.Reader
-	length int64 // of the whole answer; -1 where it isn't told
+	length int64 // of the whole response; -1 if unknown
 	ended  chan error
 }
 
-// end says that the rest was passed on whole, or why not. It is said once.
+// end reports that the rest was passed on completely, or why not. It must be called exactly once.
 func (d *download) end(err error) {
 	if d != nil {
 		d.ended <- err
--- a/internal/node/bodies_test.go
+++ b/internal/node/bodies_test.go
@@ -36,11 +36,11 @@
 	for _, s := range []interface {
 		TryAcquire(int64) bool
 		Release(int64)
-	}{b.requests, b.answers, b.largeRequests, b.largeAnswers, b.held} {
-		if !s.TryAcquire(leastBudget) {
+	}{b.requests, b.answers, b.largeRequests, b.largeAnswers, b.heldRequests} {
+		if !s.TryAcquire(minBudget) {
 			return false
 		}
-		s.Release(leastBudget)
+		s.Release(minBudget)
 	}
 	return true
 }
@@ -65,7 +65,7 @@
 	c.MemoryMB = 1
 	node, _ := startNode(t, c)
 	for _, told := range []bool{true, false} {
-		for _, size := range []int{wholeBody - 1, wholeBody, wholeBody + 1, wholeBody + 2, 3 << 20} {
+		for _, size := range []int{maxSmallBody - 1, maxSmallBody, maxSmallBody + 1, maxSmallBody + 2, 3 << 20} {
 			body := large(size)
 			req := newRequest(t, node, "POST", "pay", fmt.Sprintf("r-%d-%v", size, told), "x")
 			req.Body, req.ContentLength = io.NopCloser(bytes.NewReader(body)), int64(size)
@@ -87,7 +87,7 @@
 // off before that is none at all.
 func TestBrokenLargeAnswerIsToldApart(t *testing.T) {
 	var attempts atomic.Int32
-	cut := wholeBody + 9
+	cut := maxSmallBody + 9
 	addr := rawServer(t, func(c net.Conn, r *bufio.Reader) {
 		if !swallow(r) {
 			return
@@ -126,30 +126,30 @@
 	more := make(chan struct{})
 	addr := rawServer(t, func(c net.Conn, r *bufio.Reader) {
 		for swallow(r) {
-			_, _ = fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n", 3*wholeBody)
-			_, _ = c.Write(large(3 * wholeBody)[:wholeBody])
+			_, _ = fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n", 3*maxSmallBody)
+			_, _ = c.Write(large(3 * maxSmallBody)[:maxSmallBody])
 			<-more
-			_, _ = c.Write(large(3 * wholeBody)[wholeBody:])
+			_, _ = c.Write(large(3 * maxSmallBody)[maxSmallBody:])
 		}
 	})
 	u := testUpstream(t, addr)
 	until := time.Now().Add(2 * time.Second)
 	var got []byte
-	u.attempt(t.Context(), "s0", testClientRequest(http.MethodGet, "r1", ""), attemptHost{until: until, left: t.Context(), end: func(r result) {
-		if r.code != policy.OK || r.answer.more == nil {
+	u.sendAttempt(t.Context(), "s0", testClientRequest(http.MethodGet, "r1", ""), attemptParams{deadline: until, clientGone: t.Context(), onEnd: func(r attemptResult) {
+		if r.code != policy.OK || r.answer.stream == nil {
 			t.Errorf("code %v", r.code)
 			return
 		}
 		go func() {
 			time.Sleep(time.Until(until.Add(time.Millisecond)))
 			close(more)
-			rest, err := io.ReadAll(r.answer.more.rest)
+			rest, err := io.ReadAll(r.answer.stream.rest)
 			got = append(r.answer.body, rest...)
 			r.answer.reserved.release()
-			r.answer.more.end(err)
+			r.answer.stream.end(err)
 		}()
 	}})
-	if !bytes.Equal(got, large(3*wholeBody)) {
+	if !bytes.Equal(got, large(3*maxSmallBody)) {
 		t.Errorf("%d bytes came", len(got))
 	}
 	if open, idle := u.counts("s0"); open != 1 || idle != 1 {
@@ -162,8 +162,8 @@
 
 // streamed is a large request whose rest comes from a reader.
 func streamed(t *testing.T, id string, rest io.Reader, length int64) *clientRequest {
-	x := testClientRequest(http.MethodPost, id, string(large(wholeBody)))
-	x.rest, x.length = newUpload(deadlines{}, nil, rest, 0, flowRate), length
+	x := testClientRequest(http.MethodPost, id, string(large(maxSmallBody)))
+	x.bodyRest, x.length = newUpload(deadlines{}, nil, rest, 0, bodyRatePerCore), length
 	return x
 }
 
@@ -182,7 +182,7 @@
 	closed.Close()
 	var whole atomic.Int32
 	cutter := rawServer(t, func(c net.Conn, r *bufio.Reader) {
-		_, _ = io.CopyN(io.Discard, r, 2*wholeBody) // more than the node holds
+		_, _ = io.CopyN(io.Discard, r, 2*maxSmallBody) // more than the node holds
 		_ = c.(*net.TCPConn).SetLinger(0)
 	})
 	good := rawServer(t, func(c net.Conn, r *bufio.Reader) {
@@ -217,9 +217,9 @@
 			}
 			return nil
 		})
-		l.send(discovery.News{Kind: policy.ListReplace, Members: members(t, c.servers...), Revision: 1})
-		x := streamed(t, "r1", bytes.NewReader(large(4<<20)), wholeBody+4<<20)
-		x.came, x.clientWaits = l.clock.now(), long
+		l.send(discovery.Update{Kind: policy.ListReplace, Members: members(t, c.servers...), Revision: 1})
+		x := streamed(t, "r1", bytes.NewReader(large(4<<20)), maxSmallBody+4<<20)
+		x.arrivedAt, x.clientTimeout = l.clock.now(), long
 		l.send(arrival{x})
 		a := receive(t, "the answer", x.reply)
 		l.snapshot() // the loop has gone through what came before
@@ -240,12 +240,12 @@
 	blocked, unblock := io.Pipe()
 	u := testUpstream(t, addr)
 	x := streamed(t, "r1", blocked, 8<<20)
-	done := make(chan result, 1)
+	done := make(chan attemptResult, 1)
 	go func() { done <- attemptAt(t.Context(), u, "s0", x, time.Now().Add(long)) }()
 	await(t, "the end of what is wanted", func() bool {
-		x.rest.mu.Lock()
-		defer x.rest.mu.Unlock()
-		return x.rest.stopped
+		x.bodyRest.mu.Lock()
+		defer x.bodyRest.mu.Unlock()
+		return x.bodyRest.stopped
 	})
 	unblock.CloseWithError(errStopped) // as the deadline does on a connection
 	if r := receive(t, "the outcome", done); r.code != policy.Full {
@@ -260,7 +260,7 @@
 // that it is done: the request ran.
 func TestAnswerOnTheHeelsOfTheBody(t *testing.T) {
 	const rest = 128 << 10
-	for _, length := range []int64{wholeBody + rest, -1} {
+	for _, length := range []int64{maxSmallBody + rest, -1} {
 		for range 10 {
 			addr := rawServer(t, func(c net.Conn, r *bufio.Reader) {
 				if swallow(r) {
@@ -268,7 +268,7 @@
 				}
 			})
 			x := streamed(t, "r1", bytes.NewReader(large(rest)), length)
-			x.rest.flow.rate = 4 << 20 // so that one more look for the end takes a while
+			x.bodyRest.limiter.rate = 4 << 20 // so that one more look for the end takes a while
 			r := attemptAt(t.Context(), testUpstream(t, addr), "s0", x, time.Now().Add(long))
 			if r.code != policy.ServerError {
 				t.Fatalf("length %d: %v, %v; want an error that may have run", length, r.code, r.err)
@@ -291,7 +291,7 @@
 		t.Errorf("code %v, %d whole requests", r.code, whole.Load())
 	}
 	select {
-	case <-x.rest.left:
+	case <-x.bodyRest.failed:
 	default:
 		t.Error("nobody is told that the client's body broke off")
 	}
@@ -334,12 +334,12 @@
 		"dribble":                   {slowReader{100 * time.Millisecond, 1, 1 << 20}, 0, 0, errTooSlow, 3 * time.Second},
 		"dribble after a slow head": {slowReader{100 * time.Millisecond, 1, 1 << 20}, 2 * time.Second, 0, errTooSlow, time.Second},
 		"dribble often":             {slowReader{5 * time.Millisecond, 1, 1 << 20}, 0, 0, errTooSlow, 3 * time.Second},
-		"more than there may be":    {slowReader{0, 1 << 20, maxBody + 1}, 0, 0, errTooLarge, 1100 * time.Millisecond},
-		"as much as there may be":   {slowReader{0, 1 << 20, maxBody}, 0, 0, nil, 1100 * time.Millisecond},
+		"more than there may be":    {slowReader{0, 1 << 20, maxBodySize + 1}, 0, 0, errTooLarge, 1100 * time.Millisecond},
+		"as much as there may be":   {slowReader{0, 1 << 20, maxBodySize}, 0, 0, nil, 1100 * time.Millisecond},
 	} {
 		synctest.Test(t, func(t *testing.T) {
 			began := time.Now()
-			u := newUpload(deadlines{}, nil, &c.from, c.ago, flowRate)
+			u := newUpload(deadlines{}, nil, &c.from, c.ago, bodyRatePerCore)
 			var err error
 			for p := make([]byte, 1<<20); err == nil; {
 				time.Sleep(c.pause)
@@ -348,8 +348,8 @@
 			if c.want == nil && err != io.EOF || c.want != nil && !errors.Is(err, c.want) || time.Since(began) > c.by {
 				t.Errorf("%s: %v after %v, want %v within %v", name, err, time.Since(began), c.want, c.by)
 			}
-			if u.whole() != (c.want == nil) || (u.failure() != nil) != (c.want != nil) {
-				t.Errorf("%s: whole %v, failure %v", name, u.whole(), u.failure())
+			if u.isComplete() != (c.want == nil) || (u.failure() != nil) != (c.want != nil) {
+				t.Errorf("%s: whole %v, failure %v", name, u.isComplete(), u.failure())
 			}
 		})
 	}
@@ -359,8 +359,8 @@
 func TestLargeBodyIsPaced(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		began := time.Now()
-		u := newUpload(deadlines{}, nil, &slowReader{0, 1 << 20, maxBody}, 0, flowRate/4)
-		if n, err := io.Copy(io.Discard, u); n != maxBody || err != nil {
+		u := newUpload(deadlines{}, nil, &slowReader{0, 1 << 20, maxBodySize}, 0, bodyRatePerCore/4)
+		if n, err := io.Copy(io.Discard, u); n != maxBodySize || err != nil {
 			t.Errorf("%d bytes, %v", n, err)
 		}
 		if took := time.Since(began); took < 3900*time.Millisecond || took > 4100*time.Millisecond {
@@ -373,26 +373,26 @@
 func TestRoomIsSharedOut(t *testing.T) {
 	r := newMemoryBudget(1, 1)
 	var held []*reservation
-	for range leastBudget / wholeBody {
-		c, err := reserve(t.Context(), r.largeRequests, wholeBody)
+	for range minBudget / maxSmallBody {
+		c, err := reserve(t.Context(), r.largeRequests, maxSmallBody)
 		if err != nil {
 			t.Fatal(err)
 		}
 		held = append(held, c)
 	}
-	small, err := reserve(t.Context(), r.requests, wholeBody)
+	small, err := reserve(t.Context(), r.requests, maxSmallBody)
 	if err != nil {
 		t.Fatal(err)
 	}
 	small.release()
 	next := make(chan *reservation, 1)
 	go func() {
-		c, _ := reserve(t.Context(), r.largeRequests, wholeBody)
+		c, _ := reserve(t.Context(), r.largeRequests, maxSmallBody)
 		next <- c
 	}()
 	held[0].resize(pieceSize)
 	held[1].resize(pieceSize)
-	held[1].resize(wholeBody) // it doesn't grow again
+	held[1].resize(maxSmallBody) // it doesn't grow again
 	receive(t, "room", next).release()
 	for _, c := range held {
 		c.release()
@@ -481,7 +481,7 @@
 		"a chunk that is longer":  head + "Transfer-Encoding: chunked\r\n\r\n1\r\nxyz\r\n0\r\n\r\n" + hidden,
 		"two codings":             head + "Transfer-Encoding: gzip, chunked\r\n\r\n0\r\n\r\n" + hidden,
 		"a space before a colon":  head + "Content-Length : 3\r\n\r\n" + hidden,
-		"a bad chunk far behind":  head + "Transfer-Encoding: chunked\r\n\r\n" + fmt.Sprintf("%x\r\n%s\r\nzz\r\n", 2*wholeBody, large(2*wholeBody)) + hidden,
+		"a bad chunk far behind":  head + "Transfer-Encoding: chunked\r\n\r\n" + fmt.Sprintf("%x\r\n%s\r\nzz\r\n", 2*maxSmallBody, large(2*maxSmallBody)) + hidden,
 		"an ambiguous second one": strings.Replace(hidden, "inner", "first", 1) + head + "Content-Length: 0\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n",
 	} {
 		reached.Store(0)
@@ -514,17 +514,17 @@
 	f.Add([]byte("\r\n\n\r\r\n"), uint8(1))
 	f.Fuzz(func(t *testing.T, raw []byte, cut uint8) {
 		heads := func(step int) (all []string) {
-			var w headWatch
+			var w headScanner
 			head := []byte{}
 			for rest := raw; len(rest) > 0; {
 				p := rest[:min(step, len(rest))]
-				before := w.heads
-				n := w.pass(p)
+				before := w.headCount
+				n := w.scan(p)
 				if n <= 0 || n > len(p) {
 					t.Fatalf("lets %d of %d through", n, len(p))
 				}
 				head, rest = append(head, p[:n]...), rest[n:]
-				if w.heads != before { // empty lines ahead of it belong to it, and none of them ends it
+				if w.headCount != before { // empty lines ahead of it belong to it, and none of them ends it
 					if end := strings.TrimLeft(string(head), "\r\n"); !strings.HasSuffix(end, "\n\n") && !strings.HasSuffix(end, "\n\r\n") {
 						t.Fatalf("%q is no head", head)
 					}
@@ -564,7 +564,7 @@
 // While there is room, a large body is held whole: it takes up no server while it comes, and is sent again
 // where the first server can't be reached any more. Without room it goes on as it comes.
 func TestLargeBodyIsHeldWhileThereIsRoom(t *testing.T) {
-	const size = heldBody
+	const size = maxHeldBody
 	body := large(size)
 	for _, room := range []bool{true, false} {
 		begun, whole := make(chan struct{}, 1), make(chan int64, 1)
@@ -583,7 +583,7 @@
 		})
 		l, _ := startLoop(t, addr, sendEach)
 		if !room {
-			c := tryReserve(l.up.memory.held, int64(budgetPart*64*(1<<20)))
+			c := tryReserve(l.upstream.memory.heldRequests, int64(budgetFraction*64*(1<<20)))
 			if c == nil {
 				t.Fatal("no room from the start")
 			}
@@ -635,7 +635,7 @@
 	runLoop(t, l, addr)
 	node, _ := serveClients(t, l)
 	takeAllMemory(t, up.memory)
-	for _, length := range []int{100, wholeBody + 1} {
+	for _, length := range []int{100, maxSmallBody + 1} {
 		expectRefusal(t, postBody(t, node, length, 200*time.Millisecond))
 	}
 }
@@ -656,8 +656,8 @@
 	s := newServer(c, l)
 	node, _ := serveClientsOf(t, s)
 	takeAllMemory(t, up.memory)
-	small, large := postBody(t, node, 100, time.Hour), postBody(t, node, wholeBody+1, time.Hour)
-	s.finish()
+	small, large := postBody(t, node, 100, time.Hour), postBody(t, node, maxSmallBody+1, time.Hour)
+	s.endOpenRequests()
 	expectRefusal(t, small)
 	expectRefusal(t, large)
 }
@@ -665,7 +665,7 @@
 // takeAllMemory leaves no room for bodies of requests until the test ends.
 func takeAllMemory(t *testing.T, room *memoryBudget) {
 	t.Helper()
-	for _, part := range []*semaphore.Weighted{room.requests, room.largeRequests, room.held} {
+	for _, part := range []*semaphore.Weighted{room.requests, room.largeRequests, room.heldRequests} {
 		all := int64(0)
 		for part.TryAcquire(1 << 10) {
 			all += 1 << 10
--- a/internal/node/client_conn.go
+++ b/internal/node/client_conn.go
@@ -12,145 +12,145 @@
 	"cobaltward/internal/syserr"
 )
 
-// clientConn is one connection of a client.
+// clientConn is a client's connection.
 type clientConn struct {
 	*net.TCPConn
 	raw   syscall.RawConn
-	owner *clients
-
-	// Under the owner's mutex.
-	position  *linked.Element // among those waited for; nil while a whole request is in it
-	since     time.Time       // when it last said something, or had its answer
-	began     time.Time       // when its request began to come; zero before that
-	came      time.Time       // when the newest byte that was let through had come
-	headBy    time.Time       // when the head that has begun must be whole; zero: none has, or net/http sees to it
-	gone      bool
-	watch     headWatch
-	readAhead readAheadBuffer // read, but not let through yet
-	fullSince time.Time       // what is read from now on may have come since then; zero: the socket was seen empty
-	codedRead chan struct{}   // closed once the end of a body with a transfer coding is found; nil: none is being read
-	// inFlight says that the node has a whole request. What comes behind it is read ahead and kept back, for
-	// net/http takes a byte of it for a sign of life and looks no further for the client's end.
+	owner *clientListener
+
+	// Guarded by the owner's mutex.
+	waitingElement     *linked.Element // in the owner's waiting list; nil while a complete request is in hand
+	lastActive         time.Time       // when data was last received or a response was finished
+	requestStartedAt   time.Time       // when the current request began to arrive; zero before that
+	lastArrival        time.Time       // when the newest delivered byte arrived
+	headDeadline       time.Time       // when the head in progress must be complete; zero: none, or net/http's timeout applies
+	unregistered       bool
+	scanner            headScanner
+	readAhead          readAheadBuffer // read, but not delivered to net/http yet
+	readAheadFullSince time.Time       // data read from now on may have arrived since then; zero: the socket was seen empty
+	chunkedEnd         chan struct{}   // closed at the end of a chunked body; nil: none is being read
+	// inFlight means that the node has a complete request. Data behind it is read ahead and held back, since net/http
+	// takes any byte of it as proof that the client is alive and stops watching for the connection's end.
 	inFlight bool
 
-	served   bool // it has had an answer
-	lastTurn bool // it ends once what has been read is answered: nothing more is read ahead
-	kept     int  // times that it was not ended for an unread request
+	served              bool // a response has been sent
+	closeAfterReadAhead bool // close once the requests read ahead are answered; nothing more is read ahead
+	keptForUnread       int  // times that it was kept open for an unread request
 }
 
-// kind tells in which order connections are closed to make room.
-func (c *clientConn) kind(fresh time.Time) int {
-	old := c.since.Before(fresh)
+// evictionRank returns the order in which connections are closed to make room, lowest first.
+func (c *clientConn) evictionRank(freshSince time.Time) int {
+	old := c.lastActive.Before(freshSince)
 	switch {
-	case old && c.began.IsZero():
+	case old && c.requestStartedAt.IsZero():
 		return 0
-	case old && c.since.Equal(c.began):
+	case old && c.lastActive.Equal(c.requestStartedAt):
 		return 1
-	case c.began.IsZero():
+	case c.requestStartedAt.IsZero():
 		return 2
 	}
 	return 3
 }
 
-// markIdle puts a connection at the end of those waited for: it owes a request.
-func (c *clientConn) markIdle() {
+// markWaiting moves a connection to the end of the waiting list: the client is to send a request.
+func (c *clientConn) markWaiting() {
 	c.inFlight = false
-	c.since, c.began, c.headBy = time.Now(), time.Time{}, time.Time{}
-	if c.watch.line > 0 { // net/http looks ahead by a byte
-		c.began = c.since
+	c.lastActive, c.requestStartedAt, c.headDeadline = time.Now(), time.Time{}, time.Time{}
+	if c.scanner.lineLength > 0 { // net/http has already read one byte of it
+		c.requestStartedAt = c.lastActive
 	}
-	if c.position == nil {
-		c.position = c.owner.waiting.PushBack(c)
+	if c.waitingElement == nil {
+		c.waitingElement = c.owner.waiting.PushBack(c)
 	} else {
-		c.owner.waiting.MoveToBack(c.position)
+		c.owner.waiting.MoveToBack(c.waitingElement)
 	}
 }
 
-// let returns how many bytes of what a client said go on now; cameAt tells when the n-th of them came. With a whole
-// head, or a whole body, the node owes the next step.
-func (c *clientConn) let(p []byte, cameAt func(n int) time.Time) int {
-	if c.position != nil {
-		c.since = time.Now()
-		if c.began.IsZero() {
-			c.began = c.since
-			c.limitHead(cameAt(1))
+// deliver decides how many bytes of p go to net/http now, and returns their number; arrivedAt gives the arrival time of
+// the n-th byte. Once a head or a body is complete, the node has to act next and the client isn't waited for any more.
+func (c *clientConn) deliver(p []byte, arrivedAt func(n int) time.Time) int {
+	if c.waitingElement != nil {
+		c.lastActive = time.Now()
+		if c.requestStartedAt.IsZero() {
+			c.requestStartedAt = c.lastActive
+			c.setHeadDeadline(arrivedAt(1))
 		}
-		c.owner.waiting.MoveToBack(c.position)
+		c.owner.waiting.MoveToBack(c.waitingElement)
 	}
-	heads, body := c.watch.heads, c.watch.body
-	n := c.watch.pass(p)
-	c.came = cameAt(n)
-	if c.watch.heads != heads || body > 0 && c.watch.body == 0 {
+	heads, body := c.scanner.headCount, c.scanner.bodyLeft
+	n := c.scanner.scan(p)
+	c.lastArrival = arrivedAt(n)
+	if c.scanner.headCount != heads || body > 0 && c.scanner.bodyLeft == 0 {
 		c.inFlight = true
-		c.headBy = time.Time{}
-		c.removeIdle() // at once: by the time that its handler runs, it might have made room for another
+		c.headDeadline = time.Time{}
+		c.removeWaiting() // now, since the handler might only run after the connection was evicted for another
 	}
 	return n
 }
 
-// limitHead bounds the time that the rest of a head may take whose first byte came then. On a connection that is used
-// again net/http begins to count with the fourth byte, and without those it waits for as long as for a new request.
-func (c *clientConn) limitHead(first time.Time) {
+// setHeadDeadline limits the time for the rest of a head whose first byte arrived at the given time. On a reused
+// connection net/http starts its timeout only at the fourth byte; with fewer it waits as long as for a new request.
+func (c *clientConn) setHeadDeadline(first time.Time) {
 	if !c.served {
 		return
 	}
-	c.headBy = first.Add(headerTimeout)
-	if least := c.began.Add(leastGrace); c.headBy.Before(least) {
-		c.headBy = least
+	c.headDeadline = first.Add(headerTimeout)
+	if earliest := c.requestStartedAt.Add(minReadGrace); c.headDeadline.Before(earliest) {
+		c.headDeadline = earliest
 	}
-	_ = c.TCPConn.SetReadDeadline(c.headBy) // fails only on a connection that is gone
+	_ = c.TCPConn.SetReadDeadline(c.headDeadline) // fails only on a closed connection
 }
 
-// SetReadDeadline is net/http's, which may not put off the end of a head that has begun.
+// SetReadDeadline is called by net/http, which must not extend the deadline of a head that has begun.
 func (c *clientConn) SetReadDeadline(t time.Time) error {
 	c.owner.mu.Lock()
 	defer c.owner.mu.Unlock()
-	if !c.headBy.IsZero() && (t.IsZero() || t.After(c.headBy)) {
-		t = c.headBy
+	if !c.headDeadline.IsZero() && (t.IsZero() || t.After(c.headDeadline)) {
+		t = c.headDeadline
 	}
-	if !t.IsZero() && t.Before(time.Now()) { // whoever reads is to stop
-		c.endCodedRead()
+	if !t.IsZero() && t.Before(time.Now()) { // the reader is to stop
+		c.endChunkedRead()
 	}
 	return c.TCPConn.SetReadDeadline(t)
 }
 
-func (c *clientConn) removeIdle() {
-	if c.position != nil {
-		c.owner.waiting.Remove(c.position)
-		c.position = nil
+func (c *clientConn) removeWaiting() {
+	if c.waitingElement != nil {
+		c.owner.waiting.Remove(c.waitingElement)
+		c.waitingElement = nil
 	}
 }
 
-// mayStay tells whether the connection may stay open behind an answer. Where clients are sent away it stays for what
-// has been read of further requests, and for a few that have come and were not read yet, but not for ever.
-func (c *clientConn) mayStay(sentAway bool) bool {
+// mayStayOpen reports whether the connection may stay open after a response. While the node is draining its clients, it
+// stays open for requests that have been read ahead and, up to maxKeptForUnread times, for requests not read yet.
+func (c *clientConn) mayStayOpen(draining bool) bool {
 	if c == nil {
-		return !sentAway
+		return !draining
 	}
 	c.owner.mu.Lock()
 	defer c.owner.mu.Unlock()
 	switch {
-	case !sentAway:
-		c.lastTurn = false
+	case !draining:
+		c.closeAfterReadAhead = false
 		return true
-	case len(c.readAhead.bytes) > 0 || c.watch.line > 0:
-		c.lastTurn = true
+	case len(c.readAhead.bytes) > 0 || c.scanner.lineLength > 0:
+		c.closeAfterReadAhead = true
 		return true
-	case c.kept >= mostKept || !unread(c.TCPConn):
+	case c.keptForUnread >= maxKeptForUnread || !hasUnread(c.TCPConn):
 		return false
 	}
-	c.kept++
+	c.keptForUnread++
 	return true
 }
 
-// closes counts that the connection is closed, and why.
-func (c *clientConn) closes(reason string) {
+// countClosed counts the connection as closed for the given reason.
+func (c *clientConn) countClosed(reason string) {
 	if c != nil {
-		c.owner.metrics.closed.WithLabelValues(reason).Inc()
+		c.owner.metrics.clientConnsClosed.WithLabelValues(reason).Inc()
 	}
 }
 
-func (c *clientConn) answered() {
+func (c *clientConn) markAnswered() {
 	if c != nil {
 		c.owner.mu.Lock()
 		c.served = true
@@ -158,22 +158,22 @@
 	}
 }
 
-// Close lets a client read its answer: bytes that come as the connection is closed, and that nobody reads any more,
-// would reset it and take the answer with it. So it waits for the client's end, for a moment.
+// Close lets the client read its response first. Data that arrives unread at a closed connection makes the kernel send a
+// reset, which may discard the response. So Close waits a limited time for the client to close its side.
 func (c *clientConn) Close() error {
 	c.owner.mu.Lock()
-	lingers := c.served && !c.gone && !c.owner.cut
+	lingers := c.served && !c.unregistered && !c.owner.noLinger
 	c.owner.mu.Unlock()
 	if lingers && c.CloseWrite() == nil {
-		_ = c.SetReadDeadline(time.Now().Add(c.owner.linger))
-		_, _ = io.CopyN(io.Discard, c.TCPConn, lingerBytes)
+		_ = c.SetReadDeadline(time.Now().Add(c.owner.lingerTime))
+		_, _ = io.CopyN(io.Discard, c.TCPConn, maxLingerBytes)
 	}
 	return c.TCPConn.Close()
 }
 
-// tryClose takes a connection that the node waits for out of service, for the caller to close without the mutex,
-// unless something has come that nobody has read yet: a request that meets a close is turned back unheard. What comes
-// from now on is not read.
+// tryClose takes a waiting connection out of service, for the caller to close after unlocking the mutex. It refuses if
+// data has arrived that nobody has read: a request that met the close would be lost without an answer. Data that
+// arrives after tryClose isn't read.
 func (c *clientConn) tryClose() bool {
 	denied := invariant.MayClose(invariant.Connection{RequestOpen: c.inFlight, ReadAhead: len(c.readAhead.bytes),
 		UnreadBytes: !isIdle(c.TCPConn)})
@@ -181,32 +181,32 @@
 		c.owner.monitor.Deny(denied)
 		return false
 	}
-	c.forget()
+	c.unregister()
 	return true
 }
 
-// Read also notes that a request begins: net/http says so only once it has the whole head. Bytes are
-// taken under the owner's mutex, so that none are in nobody's hands when it looks for quiet connections.
+// Read also records when a request begins, which net/http reports only after the complete head. It reads from the socket
+// under the owner's mutex, so that no data is in transit while the owner looks for idle connections.
 func (c *clientConn) Read(p []byte) (n int, err error) {
-	c.awaitCodedEnd(p)
+	c.awaitChunkedEnd(p)
 	if n = c.takeReadAhead(p); n > 0 || len(p) == 0 {
 		return n, nil
 	}
 	for {
 		n, err = c.readOnce(p)
-		if !syserr.Passes(err) {
+		if !syserr.Retryable(err) {
 			return n, err
 		}
-		time.Sleep(ioPause) // the system lacks something for a moment, and the client is there still
+		time.Sleep(ioRetryPause) // a temporary shortage of the system; the client is still connected
 	}
 }
 
-// readOnce waits for bytes, or for an error.
+// readOnce waits for data or an error.
 func (c *clientConn) readOnce(p []byte) (n int, err error) {
 	failed := c.raw.Read(func(fd uintptr) bool {
 		c.owner.mu.Lock()
 		defer c.owner.mu.Unlock()
-		if denied := invariant.MayRead(c.gone); denied != invariant.None {
+		if denied := invariant.MayRead(c.unregistered); denied != invariant.None {
 			c.owner.monitor.Deny(denied)
 			err = net.ErrClosed
 			return true
@@ -216,9 +216,9 @@
 			return err != nil
 		}
 		if n, err = readSocket(int(fd), p); n > 0 {
-			n = c.letRead(p[:n], c.arrival(int(fd)))
+			n = c.deliverRead(p[:n], c.arrivalTime(int(fd)))
 		} else if err == syscall.EAGAIN {
-			c.fullSince = time.Time{}
+			c.readAheadFullSince = time.Time{}
 		}
 		return err != syscall.EAGAIN
 	})
@@ -228,223 +228,225 @@
 	return n, err
 }
 
-// Write writes an answer, again for a while where the system lacks buffers for it.
-func (c *clientConn) Write(p []byte) (int, error) { return writePatiently(c.TCPConn, p) }
+// Write writes a response, and retries for a while if the system is short of buffers.
+func (c *clientConn) Write(p []byte) (int, error) { return writeWithRetry(c.TCPConn, p) }
 
-// codedEndWait bounds what awaitCodedEnd waits: net/http may also want a single byte to fill its buffer.
-const codedEndWait = 100 * time.Millisecond
+// maxChunkedEndWait limits the wait in awaitChunkedEnd: net/http may also read a single byte just to fill its buffer.
+const maxChunkedEndWait = 100 * time.Millisecond
 
-// awaitCodedEnd holds up net/http's look for a sign of its client, for a single byte, which it begins at the end of a
-// body before the node has heard of that: the byte would be taken from the next request's head.
-func (c *clientConn) awaitCodedEnd(p []byte) {
+// awaitChunkedEnd delays a one-byte read until the end of a chunked body has been recorded. At that end net/http starts
+// its background read, which watches for a disconnect, before the node learns of it; the byte that it reads would be
+// taken from the next request's head.
+func (c *clientConn) awaitChunkedEnd(p []byte) {
 	if len(p) != 1 {
 		return
 	}
 	c.owner.mu.Lock()
-	wait := c.codedRead
+	wait := c.chunkedEnd
 	c.owner.mu.Unlock()
 	if wait == nil {
 		return
 	}
-	late := time.NewTimer(codedEndWait)
-	defer late.Stop()
+	timeout := time.NewTimer(maxChunkedEndWait)
+	defer timeout.Stop()
 	select {
 	case <-wait:
-	case <-late.C:
+	case <-timeout.C:
 	}
 }
 
-// endCodedRead lets go whoever waits in awaitCodedEnd. The caller has the owner's mutex.
-func (c *clientConn) endCodedRead() {
-	if c.codedRead != nil {
-		close(c.codedRead)
-		c.codedRead = nil
+// endChunkedRead releases readers that wait in awaitChunkedEnd. The caller holds the owner's mutex.
+func (c *clientConn) endChunkedRead() {
+	if c.chunkedEnd != nil {
+		close(c.chunkedEnd)
+		c.chunkedEnd = nil
 	}
 }
 
-// seesHeads tells whether heads of further requests are seen behind the one in flight.
-func (c *clientConn) seesHeads() bool {
+// tracksHeads reports whether the heads of further requests are recognized behind the one in flight.
+func (c *clientConn) tracksHeads() bool {
 	if c == nil {
 		return false
 	}
 	c.owner.mu.Lock()
 	defer c.owner.mu.Unlock()
-	return c.watch.body >= 0
+	return c.scanner.bodyLeft >= 0
 }
 
-// letRead lets a part of what was read through, and keeps the rest.
-func (c *clientConn) letRead(p []byte, came time.Time) int {
-	n := c.let(p, func(int) time.Time { return came })
-	c.readAhead.append(p[n:], came)
+// deliverRead delivers a part of the data that was read, and adds the rest to the read-ahead buffer.
+func (c *clientConn) deliverRead(p []byte, arrived time.Time) int {
+	n := c.deliver(p, func(int) time.Time { return arrived })
+	c.readAhead.append(p[n:], arrived)
 	return n
 }
 
-// arrival is when what was just read came, as the system tells it: the process may have been held up since. Nothing
-// that is read once the read-ahead buffer was full is known to have come after that.
-func (c *clientConn) arrival(fd int) time.Time {
-	if !c.fullSince.IsZero() {
-		return c.fullSince
+// arrivalTime returns when the data just read had arrived, according to the kernel, since the process may have been
+// delayed. For data read after the read-ahead buffer was full, only the time when it became full is known.
+func (c *clientConn) arrivalTime(fd int) time.Time {
+	if !c.readAheadFullSince.IsZero() {
+		return c.readAheadFullSince
 	}
 	return time.Now().Add(-lastDataAge(fd))
 }
 
-// fillReadAhead keeps what has come behind the request in flight, and returns an error once the client has gone.
+// fillReadAhead buffers data behind the request in flight, and returns an error once the client has disconnected.
 func (c *clientConn) fillReadAhead(fd int) error {
-	for !c.lastTurn && len(c.readAhead.bytes) < aheadMost {
+	for !c.closeAfterReadAhead && len(c.readAhead.bytes) < maxReadAhead {
 		var piece [4 << 10]byte
-		n, err := readSocket(fd, piece[:min(len(piece), aheadMost-len(c.readAhead.bytes))])
+		n, err := readSocket(fd, piece[:min(len(piece), maxReadAhead-len(c.readAhead.bytes))])
 		switch {
 		case err == syscall.EAGAIN:
-			c.fullSince = time.Time{}
+			c.readAheadFullSince = time.Time{}
 			return nil
 		case err != nil:
 			return err
 		}
-		c.readAhead.append(piece[:n], c.arrival(fd))
+		c.readAhead.append(piece[:n], c.arrivalTime(fd))
 	}
-	if c.fullSince.IsZero() {
-		c.fullSince = time.Now()
+	if c.readAheadFullSince.IsZero() {
+		c.readAheadFullSince = time.Now()
 	}
-	if peerClosed(fd) { // what it sent before stands ahead of its end
+	if peerClosed(fd) { // data sent before the end comes ahead of it in the socket
 		return io.EOF
 	}
 	return nil
 }
 
-// presence is what can be told of the client of the request in flight.
-type presence int
+// clientPresence is what is known about the client of the request in flight.
+type clientPresence int
 
 const (
-	present presence = iota
-	departed
-	// hidden stands behind so many unread bytes that its end, if it has come to one, may not have found room among them.
-	hidden
+	clientPresent clientPresence = iota
+	clientDeparted
+	// presenceUnknown means that the read-ahead buffer is full, with so much unread data behind it that the client's
+	// end of stream may not have fit into the socket buffer.
+	presenceUnknown
 )
 
-// gone tells whether an error of the client's connection is its end.
-func gone(err error) bool { return err != nil && !syserr.Passes(err) }
+// isDisconnect reports whether an error on the client's connection means that the connection is over.
+func isDisconnect(err error) bool { return err != nil && !syserr.Retryable(err) }
 
-// presence asks the system, for net/http tells of a client that has closed its connection only once its reader has run.
-func (c *clientConn) presence() presence {
+// presence checks the socket, since net/http reports a disconnect only after its background read has run.
+func (c *clientConn) presence() clientPresence {
 	if c == nil {
-		return present
+		return clientPresent
 	}
-	found := present
+	result := clientPresent
 	failed := c.raw.Control(func(fd uintptr) {
 		c.owner.mu.Lock()
 		defer c.owner.mu.Unlock()
 		switch {
 		case !c.inFlight:
-		case gone(c.fillReadAhead(int(fd))):
-			found = departed
-		case !c.fullSince.IsZero() && unreadBytes(int(fd)) >= hidingBytes:
-			found = hidden
+		case isDisconnect(c.fillReadAhead(int(fd))):
+			result = clientDeparted
+		case !c.readAheadFullSince.IsZero() && unreadBytes(int(fd)) >= minHidingBytes:
+			result = presenceUnknown
 		}
 	})
 	if failed != nil {
-		return departed
+		return clientDeparted
 	}
-	return found
+	return result
 }
 
-// holdsUnread tells whether so many bytes have come and wait to be read.
-func (c *clientConn) holdsUnread(length int64) (yes bool) {
+// hasUnreadBytes reports whether at least length bytes have arrived and are still to be read.
+func (c *clientConn) hasUnreadBytes(length int64) (found bool) {
 	if c == nil {
 		return false
 	}
 	failed := c.raw.Control(func(fd uintptr) {
 		c.owner.mu.Lock()
 		defer c.owner.mu.Unlock()
-		yes = int64(len(c.readAhead.bytes)+unreadBytes(int(fd))) >= length
+		found = int64(len(c.readAhead.bytes)+unreadBytes(int(fd))) >= length
 	})
-	return failed == nil && yes
+	return failed == nil && found
 }
 
-// complete notes that net/http has read a body to its end.
-func (c *clientConn) complete() {
+// markBodyRead records that net/http has read a body to its end.
+func (c *clientConn) markBodyRead() {
 	if c != nil {
 		c.owner.mu.Lock()
 		c.inFlight = true
-		c.watch.endCoded()
-		c.endCodedRead()
+		c.scanner.endChunkedBody()
+		c.endChunkedRead()
 		c.owner.mu.Unlock()
 	}
 }
 
-// discard lets all that still comes through, for it is not to be served.
-func (c *clientConn) discard() {
+// deliverAll delivers all further data to net/http at once: no further request on this connection is served.
+func (c *clientConn) deliverAll() {
 	if c != nil {
 		c.owner.mu.Lock()
-		c.inFlight, c.watch.body = false, unseen
-		c.endCodedRead()
+		c.inFlight, c.scanner.bodyLeft = false, untrackedBody
+		c.endChunkedRead()
 		c.owner.mu.Unlock()
 	}
 }
 
-// takeReadAhead takes from what was read before.
+// takeReadAhead delivers data from the read-ahead buffer.
 func (c *clientConn) takeReadAhead(p []byte) int {
 	c.owner.mu.Lock()
 	defer c.owner.mu.Unlock()
-	if len(c.readAhead.bytes) == 0 || c.inFlight || c.gone {
+	if len(c.readAhead.bytes) == 0 || c.inFlight || c.unregistered {
 		return 0
 	}
-	n := c.let(p[:copy(p, c.readAhead.bytes)], c.readAhead.cameAt)
-	c.readAhead.take(n)
+	n := c.deliver(p[:copy(p, c.readAhead.bytes)], c.readAhead.arrivedAt)
+	c.readAhead.consume(n)
 	return n
 }
 
-// arrived is when the last byte of the request in flight came.
-func (c *clientConn) arrived() time.Time {
+// arrivedAt returns when the last byte of the request in flight arrived.
+func (c *clientConn) arrivedAt() time.Time {
 	if c == nil {
 		return time.Now()
 	}
 	c.owner.mu.Lock()
 	defer c.owner.mu.Unlock()
-	return c.came
+	return c.lastArrival
 }
 
-// violations are those of the head of the request in hand.
+// violations returns those of the current request's head.
 func (c *clientConn) violations() headViolations {
 	c.owner.mu.Lock()
 	defer c.owner.mu.Unlock()
-	return c.watch.violations
+	return c.scanner.violations
 }
 
-// expect lets a body of the given length through next, or all that comes where that is below 0, and
-// returns when the request began to come.
-func (c *clientConn) expect(length int64) (began time.Time) {
+// expectBody prepares for a body of the given length, or for a chunked one if length is negative, and returns when the
+// request began to arrive.
+func (c *clientConn) expectBody(length int64) (began time.Time) {
 	c.owner.mu.Lock()
 	defer c.owner.mu.Unlock()
 	c.inFlight = false
-	if c.watch.expect(length); length < 0 && !c.gone {
-		c.codedRead = make(chan struct{})
+	if c.scanner.expectBody(length); length < 0 && !c.unregistered {
+		c.chunkedEnd = make(chan struct{})
 	}
-	if 0 < length && length <= wholeBody && c.position == nil && !c.gone { // others have a pace to keep
-		c.position = c.owner.waiting.PushBack(c)
+	if 0 < length && length <= maxSmallBody && c.waitingElement == nil && !c.unregistered { // larger bodies have a minimum rate to keep
+		c.waitingElement = c.owner.waiting.PushBack(c)
 	}
-	return c.began
+	return c.requestStartedAt
 }
 
-// change follows the connection's state.
-func (c *clientConn) change(state http.ConnState) {
+// stateChanged follows the connection's state in net/http.
+func (c *clientConn) stateChanged(state http.ConnState) {
 	l := c.owner
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	switch {
-	case c.gone:
+	case c.unregistered:
 		return
 	case state == http.StateClosed || state == http.StateHijacked:
-		c.forget()
+		c.unregister()
 	case state == http.StateIdle:
-		c.markIdle()
+		c.markWaiting()
 	}
-	l.room.Signal()
+	l.changed.Signal()
 }
 
-// forget takes the connection out of the count.
-func (c *clientConn) forget() {
-	c.removeIdle()
-	c.endCodedRead()
-	c.gone = true
+// unregister removes the connection from the owner's count.
+func (c *clientConn) unregister() {
+	c.removeWaiting()
+	c.endChunkedRead()
+	c.unregistered = true
 	c.owner.open--
 }
--- a/internal/node/client_request.go
+++ b/internal/node/client_request.go
@@ -10,59 +10,59 @@
 	"cobaltward/policy"
 )
 
-// clientRequest is one client request, which is not changed once the loop has it.
+// clientRequest is a client's request. Its data doesn't change after it was passed to the loop.
 type clientRequest struct {
-	req         policy.Request
-	method      string
-	url         *url.URL
-	host        string
-	key         string // Idempotency-Key
-	contentType string
-	body        []byte       // the whole body; of a large one its beginning
-	rest        *upload      // what comes behind that; nil: nothing
-	length      int64        // of the whole body; -1 where it isn't told
-	reserved    *reservation // of the room for it
-	came        policy.Time  // when its last byte had been read, or the beginning of a large body
-	clientWaits time.Duration
-	reply       chan answer // holds one, so the loop never waits for the client
-	client      *clientConn // that it came on; nil where others accepted it
-
-	// left ends when the client has left, or has its answer: no attempt begins after that, whether or not the site lets
-	// the module call off those that have begun.
-	left  context.Context
-	leave context.CancelFunc
-	state atomic.Int32 // a requestState
-	late  *time.Timer  // fires when its handler answers in the loop's place; nil: never
+	req            policy.Request
+	method         string
+	url            *url.URL
+	host           string
+	idempotencyKey string
+	contentType    string
+	body           []byte       // the complete body, or the beginning of a large one
+	bodyRest       *upload      // the rest of a large body; nil: none
+	length         int64        // of the complete body; -1 if unknown
+	reserved       *reservation // memory for the body
+	arrivedAt      policy.Time  // when the last byte, or the beginning of a large body, had been read
+	clientTimeout  time.Duration
+	reply          chan answer // has a buffer of one, so the loop never blocks on the client
+	client         *clientConn // the connection that it came on; nil if accepted by another listener
+
+	// ctx ends when the client has disconnected or has its answer. No attempt begins after that, whether or not the
+	// settings allow the module to cancel attempts under way.
+	ctx          context.Context
+	cancel       context.CancelFunc
+	state        atomic.Int32 // holds a requestState
+	handlerTimer *time.Timer  // fires when the handler answers instead of the loop; nil: never
 }
 
-// requestState tells whether a request is open, and who has ended it. Whoever moves it out of the open states answers the
-// client, and nobody else does. In one word, so that an attempt and the promise that there was none exclude each other.
+// requestState tells whether a request is open, and what ended it. Whoever moves it out of the open states answers the
+// client, and nobody else does. It is a single word, so that the start of an attempt and a refusal that promises that no
+// attempt was made exclude each other.
 type requestState int32
 
 const (
 	requestOpen       requestState = iota // no attempt has begun
-	requestTried                          // open, and an attempt may have begun
+	requestAttempted                      // open; an attempt may have begun
 	answeredByLoop                        // or about to be
-	refusedByHandler                      // in the loop's place; no attempt has begun, nor will one
-	timedOutByHandler                     // the same, but an attempt may have begun
-	clientLeft                            // no answer is owed any more
+	refusedByHandler                      // instead of the loop; no attempt has begun or will begin
+	timedOutByHandler                     // instead of the loop; an attempt may have begun
+	clientLeft                            // no answer is due
 )
 
-// open tells whether nobody has ended the request.
-func (s requestState) open() bool { return s == requestOpen || s == requestTried }
+// isOpen reports whether the request hasn't ended.
+func (s requestState) isOpen() bool { return s == requestOpen || s == requestAttempted }
 
-// begin makes a request ready for the loop.
-func (x *clientRequest) begin() {
+// init prepares a request for the loop.
+func (x *clientRequest) setUp() {
 	x.reply = make(chan answer, 1)
-	x.left, x.leave = context.WithCancel(context.Background())
+	x.ctx, x.cancel = context.WithCancel(context.Background())
 }
 
-// move changes the state by next, which is given an open state and returns the new one. It reports false where somebody has
-// ended the request.
-func (x *clientRequest) move(next func(requestState) requestState) bool {
+// transition changes the state to next(state), where state is open. It returns false if the request has ended.
+func (x *clientRequest) transition(next func(requestState) requestState) bool {
 	for {
 		old := x.currentState()
-		if !old.open() {
+		if !old.isOpen() {
 			return false
 		}
 		if x.state.CompareAndSwap(int32(old), int32(next(old))) {
@@ -71,20 +71,20 @@
 	}
 }
 
-// claim ends a request, or reports false where somebody has.
+// claim ends a request. It returns false if the request has already ended.
 func (x *clientRequest) claim(by requestState) bool {
-	return x.move(func(requestState) requestState { return by })
+	return x.transition(func(requestState) requestState { return by })
 }
 
-// try notes that an attempt is about to begin, or reports false where the request has ended.
-func (x *clientRequest) try() bool {
-	return x.move(func(requestState) requestState { return requestTried })
+// beginAttempt records that an attempt is about to begin. It returns false if the request has ended.
+func (x *clientRequest) beginAttempt() bool {
+	return x.transition(func(requestState) requestState { return requestAttempted })
 }
 
-// claimByHandler is claim for a handler that answers in the loop's place.
+// claimByHandler is claim for a handler that answers instead of the loop.
 func (x *clientRequest) claimByHandler() bool {
-	return x.move(func(old requestState) requestState {
-		if old == requestTried {
+	return x.transition(func(old requestState) requestState {
+		if old == requestAttempted {
 			return timedOutByHandler
 		}
 		return refusedByHandler
@@ -93,8 +93,8 @@
 
 func (x *clientRequest) currentState() requestState { return requestState(x.state.Load()) }
 
-// answerUnseen answers a request that the module has not been told of, unless it is ended.
-func (x *clientRequest) answerUnseen(a answer) bool {
+// answerDirectly answers a request that the module doesn't know of, unless the request has ended.
+func (x *clientRequest) answerDirectly(a answer) bool {
 	if !x.claim(answeredByLoop) {
 		return false
 	}
@@ -102,49 +102,50 @@
 	return true
 }
 
-// handlersAnswer is what a client gets whose request its handler has ended. That nothing ran is promised where no attempt
-// has begun.
-func (x *clientRequest) handlersAnswer() answer {
+// handlerAnswer returns the answer to a request that its handler has ended. It promises that nothing was run only if no
+// attempt has begun.
+func (x *clientRequest) handlerAnswer() answer {
 	if x.currentState() == timedOutByHandler {
 		return answer{status: http.StatusGatewayTimeout}
 	}
-	return ownRefusal()
+	return nodeRefusal()
 }
 
-// margin is how long before its client stops waiting a request's time is up.
+// margin returns how long before the client stops waiting the request's deadline is.
 func (x *clientRequest) margin() time.Duration {
-	return min(answerMargin, x.clientWaits/answerMarginPart)
+	return min(answerMargin, x.clientTimeout/answerMarginDivisor)
 }
 
-// answerBy is when its handler answers in the loop's place: behind the loop's own backstop, and in the client's time.
-func (x *clientRequest) answerBy(c clock) time.Time {
-	return c.at(x.came + x.clientWaits - x.margin()/4)
+// handlerDeadline returns when the handler answers instead of the loop: after the loop's own deadline timer, and before
+// the client stops waiting.
+func (x *clientRequest) handlerDeadline(c clock) time.Time {
+	return c.toTime(x.arrivedAt + x.clientTimeout - x.margin()/4)
 }
 
-// postpone moves that by the time that a large body took to go on.
-func (x *clientRequest) postpone(c clock, took time.Duration) {
-	if x.late != nil {
-		x.late.Reset(time.Until(x.answerBy(c)) + took)
+// postponeHandler postpones the handler's deadline by the time that forwarding a large body took.
+func (x *clientRequest) postponeHandler(c clock, took time.Duration) {
+	if x.handlerTimer != nil {
+		x.handlerTimer.Reset(time.Until(x.handlerDeadline(c)) + took)
 	}
 }
 
-// answer is what a client gets.
+// answer is a response to a client.
 type answer struct {
 	status      int
 	body        []byte
 	contentType string
 	retryAfter  time.Duration
-	more        *download    // the rest of a large body, which goes on as it comes; nil: there is none
-	reserved    *reservation // of the room for the body
+	stream      *download    // the rest of a large body, which is streamed; nil: none
+	reserved    *reservation // memory for the body
 }
 
-// ownRefusal is what a client gets whose request the node turns away by itself, and of which nothing ran.
-func ownRefusal() answer {
-	return answer{status: http.StatusServiceUnavailable, retryAfter: ownRetryAfter}
+// nodeRefusal is the answer to a request that the node refuses without the module, and for which nothing was run.
+func nodeRefusal() answer {
+	return answer{status: http.StatusServiceUnavailable, retryAfter: nodeRetryAfter}
 }
 
-// drop is for an answer that nobody gets.
-func (a answer) drop() {
+// discard releases the resources of an answer that isn't sent.
+func (a answer) discard() {
 	a.reserved.release()
-	a.more.end(errUnwanted)
+	a.stream.end(errUnwanted)
 }
--- a/internal/node/client_request_test.go
+++ b/internal/node/client_request_test.go
@@ -13,10 +13,10 @@
 		x := testClientRequest(http.MethodGet, "r1", "")
 		var tried, answered bool
 		var both sync.WaitGroup
-		both.Go(func() { tried = x.try() })
+		both.Go(func() { tried = x.beginAttempt() })
 		both.Go(func() { answered = x.claimByHandler() })
 		both.Wait()
-		switch refused := x.handlersAnswer().status == http.StatusServiceUnavailable; {
+		switch refused := x.handlerAnswer().status == http.StatusServiceUnavailable; {
 		case !answered:
 			t.Fatal("nobody else ended the request, and its handler could not")
 		case refused == tried:
@@ -30,7 +30,7 @@
 	for _, tried := range []bool{false, true} {
 		for _, first := range []requestState{answeredByLoop, refusedByHandler, clientLeft} {
 			x := testClientRequest(http.MethodGet, "r1", "")
-			if tried && !x.try() {
+			if tried && !x.beginAttempt() {
 				t.Fatal("an open request can't be tried")
 			}
 			end := func(by requestState) bool {
@@ -39,12 +39,12 @@
 				}
 				return x.claim(by)
 			}
-			if !x.currentState().open() || !end(first) || x.currentState().open() {
+			if !x.currentState().isOpen() || !end(first) || x.currentState().isOpen() {
 				t.Fatalf("state %d: it can't be ended", first)
 			}
 			state := x.currentState()
 			for _, second := range []requestState{answeredByLoop, refusedByHandler, clientLeft} {
-				if end(second) || x.try() || x.currentState() != state {
+				if end(second) || x.beginAttempt() || x.currentState() != state {
 					t.Errorf("state %d: ended again, or tried, by %d", state, second)
 				}
 			}
--- a/internal/node/clients.go
+++ b/internal/node/clients.go
@@ -9,99 +9,100 @@
 	"cobaltward/internal/invariant"
 )
 
-// clients is the listener for clients. It bounds their connections, and where they get too many it
-// makes room by closing one of those that the node waits for: clients who connect and say nothing, stop half-way, or keep what they don't use, must not keep others out.
-type clients struct {
+// clientListener is the listener for client connections, and limits their number. At the limit it makes room by closing
+// a connection that the node waits for, so that clients that connect and send nothing, stop half-way or keep unused
+// connections open don't lock out others.
+type clientListener struct {
 	net.Listener
-	available func() int    // descriptors that servers leave for clients, beyond most; nil: none
-	linger    time.Duration // that a connection which ends waits for its client's end
-	monitor   *invariant.Monitor
-	metrics   *metrics
-
-	mu      sync.Mutex
-	room    sync.Cond
-	most    int
-	open    int
-	waiting linked.List // of the *clientConn that owe the node a request or its rest, the longest silent in front
-	evicted int         // closed to make room, since the last summary
-	closed  bool
-	cut     bool // what is left is closed at once
-}
-
-func newClients(l net.Listener, most int) *clients {
-	c := &clients{Listener: l, most: most, linger: lingerFor, monitor: new(invariant.Monitor), metrics: newMetrics()}
-	c.room.L = &c.mu
+	spareSockets func() int    // file descriptors that the server side can lend beyond baseLimit; nil: none
+	lingerTime   time.Duration // how long Close waits for the client to close its side
+	monitor      *invariant.Monitor
+	metrics      *metrics
+
+	mu        sync.Mutex
+	changed   sync.Cond
+	baseLimit int
+	open      int
+	waiting   linked.List // of the *clientConn that are to send a request or the rest of one; longest silent first
+	evicted   int         // closed to make room since the last summary
+	closed    bool
+	noLinger  bool // close connections without waiting for their clients
+}
+
+func newClients(l net.Listener, baseLimit int) *clientListener {
+	c := &clientListener{Listener: l, baseLimit: baseLimit, lingerTime: lingerTimeout, monitor: new(invariant.Monitor), metrics: newMetrics()}
+	c.changed.L = &c.mu
 	return c
 }
 
-func (l *clients) Accept() (net.Conn, error) {
-	tcp, err := acceptPatiently(l.Listener)
+func (l *clientListener) Accept() (net.Conn, error) {
+	tcp, err := acceptWithRetry(l.Listener)
 	if err != nil {
 		return nil, err
 	}
 	c := &clientConn{TCPConn: tcp.(*net.TCPConn), owner: l}
-	if c.raw, err = c.TCPConn.SyscallConn(); err != nil { // only where nobody made the connection
+	if c.raw, err = c.TCPConn.SyscallConn(); err != nil { // only if the connection wasn't properly created
 		c.TCPConn.Close()
 		return nil, err
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for l.open++; l.open > l.limit() && !l.evict() && !l.closed; {
-		l.room.Wait() // each has a request in it: one will end
+		l.changed.Wait() // every connection has a request in flight, so one will finish
 	}
-	c.markIdle()
+	c.markWaiting()
 	return c, nil
 }
 
-// limit is how many connections there may be now.
-func (l *clients) limit() int {
-	if l.available == nil {
-		return l.most
+// limit returns the current maximum number of connections.
+func (l *clientListener) limit() int {
+	if l.spareSockets == nil {
+		return l.baseLimit
 	}
-	return l.most + max(0, l.available())
+	return l.baseLimit + max(0, l.spareSockets())
 }
 
-// reclaim gives servers back a descriptor that was lent to clients, if one of these can be closed for it.
-func (l *clients) reclaim() bool {
+// reclaim returns a lent file descriptor to the server side if a client connection can be closed for it.
+func (l *clientListener) reclaim() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.open > l.most && l.evict()
+	return l.open > l.baseLimit && l.evict()
 }
 
-// borrowed is how many descriptors of the servers clients have.
-func (l *clients) borrowed() int {
+// borrowed returns how many file descriptors clients have borrowed from the server side.
+func (l *clientListener) borrowed() int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return max(0, l.open-l.most)
+	return max(0, l.open-l.baseLimit)
 }
 
-func (l *clients) Close() error {
+func (l *clientListener) Close() error {
 	l.mu.Lock()
 	l.closed = true
-	l.room.Broadcast()
+	l.changed.Broadcast()
 	l.mu.Unlock()
 	return l.Listener.Close()
 }
 
-// cutOff makes connections that close end at once, though their clients may not have read their answers.
-func (l *clients) cutOff() {
+// stopLingering makes connections close at once, although their clients may not have read their responses.
+func (l *clientListener) stopLingering() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.cut = true
+	l.noLinger = true
 }
 
-// evict closes the connection that costs its client least, if there is one that the node waits for. One
-// without a request is opened anew; half a request is lost, but one that ceased where it began most likely
-// never comes, whereas one that goes on coming does; and who has only just come or spoken is not judged yet.
-// Of each, it is the one that has been silent for longest.
-func (l *clients) evict() bool {
-	const kinds = 4
-	fresh := time.Now().Add(-freshFor)
-	for kind := range kinds {
+// evict closes the waiting connection whose loss costs its client least, if there is one. A connection without a request
+// is simply reopened. A partial request is lost, but one that stopped right after it began most likely never completes,
+// while one whose data keeps arriving does. Connections that are new, or were active within freshConnPeriod, are spared
+// if others can be closed. Within a rank, the longest silent is closed.
+func (l *clientListener) evict() bool {
+	const ranks = 4
+	freshSince := time.Now().Add(-freshConnPeriod)
+	for rank := range ranks {
 		for e := l.waiting.Front(); e != nil; e = e.Next() {
-			if c := e.Value.(*clientConn); c.kind(fresh) == kind && c.tryClose() {
+			if c := e.Value.(*clientConn); c.evictionRank(freshSince) == rank && c.tryClose() {
 				l.evicted++
-				l.closeAll(closedForRoom, c)
+				l.closeAll(closedToMakeRoom, c)
 				return true
 			}
 		}
@@ -109,72 +110,72 @@
 	return false
 }
 
-// closeAll closes connections that were given up. Whoever reads one of them may wait for the mutex, and Close for
-// the reader, so it is let go meanwhile.
-func (l *clients) closeAll(reason string, given ...*clientConn) {
-	l.metrics.closed.WithLabelValues(reason).Add(float64(len(given)))
+// closeAll closes connections that were unregistered. It unlocks the mutex meanwhile, because a reader may wait for the
+// mutex, and Close for the reader.
+func (l *clientListener) closeAll(reason string, conns ...*clientConn) {
+	l.metrics.clientConnsClosed.WithLabelValues(reason).Add(float64(len(conns)))
 	l.mu.Unlock()
 	defer l.mu.Lock()
-	for _, c := range given {
+	for _, c := range conns {
 		c.TCPConn.Close()
 	}
 }
 
-// closeIdle closes the connections that have been without a request for a moment. One that is new, or
-// just had its answer, may be about to bring a request.
-func (l *clients) closeIdle(now time.Time) {
+// closeIdle closes connections that have had no request for closeIdleAfter. Those that are new, or have just had their
+// response, may be about to send a request.
+func (l *clientListener) closeIdle(now time.Time) {
 	l.closeWithoutRequest(now, closeIdleAfter, closedSentAway, func(*clientConn) bool { return true })
 }
 
-// closeExpired closes the connections that have been without a request for as long as a node keeps them. net/http would
-// do so without a look at what has come in that moment.
-func (l *clients) closeExpired(now time.Time) {
-	l.closeWithoutRequest(now, clientIdle, closedIdle, func(c *clientConn) bool { return c.served })
+// closeExpired closes connections that have reached the idle timeout. net/http would do so without checking for data
+// that has just arrived.
+func (l *clientListener) closeExpired(now time.Time) {
+	l.closeWithoutRequest(now, clientIdleTimeout, closedIdle, func(c *clientConn) bool { return c.served })
 }
 
-// closeWithoutRequest closes the connections that have been without a request for so long, of those that may go.
-func (l *clients) closeWithoutRequest(now time.Time, after time.Duration, reason string, mayGo func(*clientConn) bool) {
+// closeWithoutRequest closes connections that have had no request for the given time and are eligible.
+func (l *clientListener) closeWithoutRequest(now time.Time, after time.Duration, reason string, eligible func(*clientConn) bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	var given []*clientConn
+	var conns []*clientConn
 	for e := l.waiting.Front(); e != nil; {
 		c := e.Value.(*clientConn)
-		if now.Sub(c.since) < after {
-			break // the others are idle for less
+		if now.Sub(c.lastActive) < after {
+			break // the list is ordered: the others have been idle for less
 		}
-		if e = e.Next(); mayGo(c) && c.began.IsZero() && c.tryClose() {
-			given = append(given, c)
+		if e = e.Next(); eligible(c) && c.requestStartedAt.IsZero() && c.tryClose() {
+			conns = append(conns, c)
 		}
 	}
-	l.closeAll(reason, given...)
-	l.room.Signal()
+	l.closeAll(reason, conns...)
+	l.changed.Signal()
 }
 
-// bound changes how many connections there may be. Those beyond it are closed as they become quiet.
-func (l *clients) bound(most int) {
+// setBaseLimit changes the number of connections allowed. Those beyond it are closed as they become idle.
+func (l *clientListener) setBaseLimit(baseLimit int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.most = most
+	l.baseLimit = baseLimit
 	for l.open > l.limit() && l.evict() {
 	}
-	l.room.Signal()
+	l.changed.Signal()
 }
 
-func (l *clients) bounded() int {
+func (l *clientListener) currentBaseLimit() int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.most
+	return l.baseLimit
 }
 
-// left is how many connections are open.
-func (l *clients) left() int {
+// openCount returns the number of open connections.
+func (l *clientListener) openCount() int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.open
 }
 
-// counts tells the log of the connections, and begins to count evictions anew.
-func (l *clients) counts() (open, evicted int) {
+// takeCounts returns the counts for the log, and resets the count of evictions.
+func (l *clientListener) takeCounts() (open, evicted int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	open, evicted, l.evicted = l.open, l.evicted, 0
--- a/internal/node/clients_test.go
+++ b/internal/node/clients_test.go
@@ -11,7 +11,7 @@
 )
 
 // testClients accepts connections that a test dials.
-func testClients(t *testing.T, most int) (l *clients, dial func() (theirs net.Conn, ours *clientConn)) {
+func testClients(t *testing.T, most int) (l *clientListener, dial func() (theirs net.Conn, ours *clientConn)) {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -67,31 +67,31 @@
 		}
 		l.mu.Lock()
 		defer l.mu.Unlock()
-		ours.since = now.Add(-silent)
+		ours.lastActive = now.Add(-silent)
 		if text != "" {
-			ours.began = now.Add(-since)
+			ours.requestStartedAt = now.Add(-since)
 		}
 		return ours
 	}
-	const old, older = 10 * freshFor, 20 * freshFor
+	const old, older = 10 * freshConnPeriod, 20 * freshConnPeriod
 	const new = -time.Hour // never old enough while the test runs
 	goesOn := add("GET / HT", old, older)
 	add("GET / HTTP/1.1\r\nHost: a\r\n\r\n", older, older) // whole
 	for _, body := range []struct {
 		length int64
 		text   string
-	}{{3, "sum"}, {-1, "3\r\nsum\r\n"}, {wholeBody + 1, "sum"}} { // whole, coded, large
+	}{{3, "sum"}, {-1, "3\r\nsum\r\n"}, {maxSmallBody + 1, "sum"}} { // whole, coded, large
 		theirs, ours := dial()
 		says(t, theirs, ours, "POST / HTTP/1.1\r\nHost: a\r\n\r\n")
-		ours.expect(body.length)
+		ours.expectBody(body.length)
 		says(t, theirs, ours, body.text)
 	}
 	theirs, ours := dial()
 	says(t, theirs, ours, "POST / HTTP/1.1\r\nHost: a\r\n\r\n")
-	ours.expect(3)
+	ours.expectBody(3)
 	says(t, theirs, ours, "su")
 	l.mu.Lock()
-	ours.since, ours.began = now.Add(-older), now.Add(-2*older)
+	ours.lastActive, ours.requestStartedAt = now.Add(-older), now.Add(-2*older)
 	l.mu.Unlock()
 	halfBody := ours
 	stuckLast := add("GET / HT", old, old)
@@ -108,7 +108,7 @@
 	for i, c := range want {
 		l.mu.Lock()
 		evicted := l.evict()
-		gone := c.gone
+		gone := c.unregistered
 		l.mu.Unlock()
 		if !evicted || !gone {
 			t.Fatalf("eviction %d: happened %v, of the one meant %v", i, evicted, gone)
@@ -135,21 +135,21 @@
 func TestFreeDescriptorsAreLent(t *testing.T) {
 	l, dial := testClients(t, 2)
 	u := newUpstream(testConfig(t, knownList()), 4)
-	l.available, u.borrowed, u.reclaim = u.available, l.borrowed, l.reclaim
+	l.spareSockets, u.borrowed, u.reclaim = u.available, l.borrowed, l.reclaim
 	var ours []*clientConn
 	for range 4 {
 		_, c := dial()
 		ours = append(ours, c)
 	}
-	if l.left() != 4 || l.borrowed() != 2 {
-		t.Fatalf("%d clients, %d of them on borrowed descriptors; want 4 and 2", l.left(), l.borrowed())
+	if l.openCount() != 4 || l.borrowed() != 2 {
+		t.Fatalf("%d clients, %d of them on borrowed descriptors; want 4 and 2", l.openCount(), l.borrowed())
 	}
 	open := func() bool {
 		u.mu.Lock()
 		defer u.mu.Unlock()
 		ok := u.makeRoom()
 		if ok {
-			u.count(1)
+			u.addOpen(1)
 		}
 		return ok
 	}
@@ -157,12 +157,12 @@
 		if !open() {
 			t.Fatalf("no descriptor for connection %d to a server", i)
 		}
-		if sum := l.left() + u.open; sum > 6 {
+		if sum := l.openCount() + u.openConns; sum > 6 {
 			t.Errorf("%d descriptors in use, of 6", sum)
 		}
 	}
-	if l.left() != 2 || !ours[0].gone || !ours[1].gone {
-		t.Errorf("%d clients left, want the last two", l.left())
+	if l.openCount() != 2 || !ours[0].unregistered || !ours[1].unregistered {
+		t.Errorf("%d clients left, want the last two", l.openCount())
 	}
 	if open() {
 		t.Error("more than there are")
@@ -173,16 +173,16 @@
 func TestLentDescriptorsInUseStay(t *testing.T) {
 	l, dial := testClients(t, 1)
 	u := newUpstream(testConfig(t, knownList()), 2)
-	l.available, u.borrowed, u.reclaim = u.available, l.borrowed, l.reclaim
+	l.spareSockets, u.borrowed, u.reclaim = u.available, l.borrowed, l.reclaim
 	for i := range 2 {
 		theirs, ours := dial()
 		says(t, theirs, ours, fmt.Sprintf("GET /%d HTTP/1.1\r\nHost: a\r\n\r\n", i))
-		ours.change(http.StateActive)
+		ours.stateChanged(http.StateActive)
 	}
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	if u.count(1); u.makeRoom() || l.left() != 2 {
-		t.Errorf("%d clients left, want both", l.left())
+	if u.addOpen(1); u.makeRoom() || l.openCount() != 2 {
+		t.Errorf("%d clients left, want both", l.openCount())
 	}
 }
 
@@ -197,12 +197,12 @@
 	if _, err := io.WriteString(theirs, "GET / HTTP/1.1\r\nHost: a\r\n\r\n"); err != nil {
 		t.Fatal(err)
 	}
-	await(t, "the bytes behind", func() bool { return unread(ours.TCPConn) })
+	await(t, "the bytes behind", func() bool { return hasUnread(ours.TCPConn) })
 	answer := large(200 << 10) // more than is on its way at once: the rest waits in the system
 	if _, err := ours.Write(answer); err != nil {
 		t.Fatal(err)
 	}
-	ours.answered()
+	ours.markAnswered()
 	closed := make(chan error, 1)
 	go func() { closed <- ours.Close() }()
 	await(t, "the end of writing", func() bool { _, err := ours.Write([]byte("x")); return err != nil })
