--- a/internal/node/config.go
+++ b/internal/node/config.go
@@ -1,5 +1,5 @@
-// Package node puts the decision module on real sockets. It decides nothing: events go in to a
-// policy.Balancer, and the actions that come out are carried out.
+// Package node runs the decision module on real sockets. It makes no routing decisions itself: it passes events to a
+// policy.Balancer and carries out the actions that this returns.
 package node
 
 import (
@@ -21,48 +21,48 @@
 	"cobaltward/policy"
 )
 
-// Config is all that a node is told at its start.
+// Config is a node's configuration at its start.
 type Config struct {
 	Name      string
-	Listen    string // the only address that clients come to
-	Operator  string // where operators come; empty: nowhere
+	Listen    string // the only address for clients
+	Operator  string // the admin address; empty: no admin listener
 	Discovery string
 	Seed      uint64
 	Cores     float64
 	MemoryMB  int64
 	Sockets   int
-	Known     discovery.List // the servers as this node last had them, perhaps stale
-	Handover  string         // the folder that an old and a new process of this node share; empty: there is none
+	Known     discovery.List // the servers as this node last knew them, perhaps out of date
+	Handover  string         // the folder shared by an old and a new process of this node; empty: none
 	Settings  policy.Settings
-	// LogDropped is how many log lines were never written; nil: nobody counts.
+	// LogDropped returns the number of log lines that were dropped; nil: not counted.
 	LogDropped func() int64
 
-	// Figures of the settings that bind the node and not the module.
-	MaxOpen        int           // unanswered requests; 0: no limit
+	// Settings that apply to the node and not to the module.
+	MaxOpen        int           // maximum of unanswered requests; 0: no limit
 	ConnectTimeout time.Duration // for a new connection to a server
 }
 
-// following is what the node's discovery client goes by.
-func (c Config) following() discovery.Config {
+// discoveryConfig returns the configuration of the node's discovery client.
+func (c Config) discoveryConfig() discovery.Config {
 	return discovery.Config{Addr: c.Discovery, Subscribe: c.Settings.Subscribe, Revision: c.Known.Revision,
 		Node: c.Settings.Node, Nodes: c.Settings.Nodes, Seed: c.Seed,
-		DrainGrace: c.Settings.Rules.DrainGrace, AskWithin: c.Settings.Rules.AskWithin,
-		MaxListSize: c.MemoryMB << 20 / listPart}
+		DrainGrace: c.Settings.Rules.DrainGrace, ListRefreshWithin: c.Settings.Rules.ListRefreshWithin,
+		MaxListSize: c.MemoryMB << 20 / listSizeDivisor}
 }
 
-// listPart is the part of the node's memory that the text of a list may be as long as. What is kept of an
-// ordinary entry needs about as many bytes as its text, and while a whole list is taken in there are two, and the
-// slice that grows under the new one: a longer one would end the node.
-const listPart = 4
+// listSizeDivisor limits the text of a server list to this part of the node's memory. A decoded entry takes about as
+// many bytes as its text, and while a complete list is being decoded there are two lists in memory plus the growing slice
+// of the new one: a longer text would exhaust the memory.
+const listSizeDivisor = 4
 
-// leastSockets is what a node can work with at all: a few for itself, and some for each side.
-const leastSockets = 64
+// minSockets is the minimum that a node can work with: a few for itself, and some for each side.
+const minSockets = 64
 
-// defaultConnectTimeout stands in where the settings name none.
+// defaultConnectTimeout applies if the settings don't set connectTimeout.
 const defaultConnectTimeout = 250 * time.Millisecond
 
-// LoadConfig reads the file that ROUTER_CONFIG names. The other variables, where set, go before what
-// the file says. Errors name the field.
+// LoadConfig reads the file that ROUTER_CONFIG names. The other ROUTER_ variables, if set, override the file. Errors name
+// the field.
 func LoadConfig(getenv func(string) string) (Config, error) {
 	c, err := readConfig(getenv)
 	if err != nil {
@@ -91,8 +91,8 @@
 	return c, nil
 }
 
-// ReloadDiscovery reads the file again and returns the address of discovery in it, the one thing that
-// changes while a node runs. ROUTER_DISCOVERY tells what held at the start, so the file goes before it.
+// ReloadDiscovery reads the file again and returns its discovery address, the only setting that may change while a node
+// runs. ROUTER_DISCOVERY holds the value at the start, so here the file overrides it.
 func ReloadDiscovery(getenv func(string) string) (string, error) {
 	c, err := readConfig(getenv)
 	if err != nil {
@@ -124,11 +124,11 @@
 	return c, nil
 }
 
-// ParseConfig reads a configuration file's text. Errors name the field.
+// ParseConfig decodes the text of a configuration file. Errors name the field.
 func ParseConfig(raw []byte) (Config, error) { return DecodeConfig(bytes.NewReader(raw)) }
 
-// DecodeConfig is ParseConfig of a stream. The text may be many times as long as what is kept of it, so it is read
-// once and no more than an entry of it is held.
+// DecodeConfig is ParseConfig for a stream. The text may be many times larger than the decoded result, so it is read once
+// and only one entry of it is buffered at a time.
 func DecodeConfig(file io.Reader) (Config, error) {
 	var c Config
 	var seedText string
@@ -138,39 +138,39 @@
 		Sockets  int     `json:"sockets"`
 	}
 	var known, settings bool
-	var rest []byte // of the settings
-	from := json.NewDecoder(file)
-	err := field.Object(from, func(key string) (err error) {
-		switch strings.ToLower(key) { // as json.Unmarshal finds them
+	var hostSettings []byte // the settings that wire.DecodeSettings leaves
+	decoder := json.NewDecoder(file)
+	err := field.DecodeObject(decoder, func(key string) (err error) {
+		switch strings.ToLower(key) { // case-insensitive, as in json.Unmarshal
 		case "name":
-			return field.Decode(from, key, &c.Name)
+			return field.Decode(decoder, key, &c.Name)
 		case "listen":
-			return field.Decode(from, key, &c.Listen)
+			return field.Decode(decoder, key, &c.Listen)
 		case "discovery":
-			return field.Decode(from, key, &c.Discovery)
+			return field.Decode(decoder, key, &c.Discovery)
 		case "operator":
-			return field.Decode(from, key, &c.Operator)
+			return field.Decode(decoder, key, &c.Operator)
 		case "seed":
-			return field.Decode(from, key, &seedText)
+			return field.Decode(decoder, key, &seedText)
 		case "limits":
-			return field.Decode(from, key, &limits)
+			return field.Decode(decoder, key, &limits)
 		case "known":
 			known = true
-			if c.Known, err = discovery.DecodeList(from); err != nil {
+			if c.Known, err = discovery.DecodeList(decoder); err != nil {
 				return fmt.Errorf("known: %w", err)
 			}
 			return nil
 		case "settings":
 			settings = true
-			if c.Settings, rest, err = wire.DecodeSettings(from); err != nil {
+			if c.Settings, hostSettings, err = wire.DecodeSettings(decoder); err != nil {
 				return fmt.Errorf("settings.%w", err)
 			}
 			return nil
 		}
-		return field.Decode(from, key, new(json.RawMessage))
+		return field.Decode(decoder, key, new(json.RawMessage))
 	})
 	if err == nil {
-		err = field.End(from)
+		err = field.ExpectEOF(decoder)
 	}
 	if err != nil {
 		return Config{}, err
@@ -183,8 +183,8 @@
 		return Config{}, fmt.Errorf("limits.cores: want more than 0, got %v", l.Cores)
 	case !(l.MemoryMB >= 1) || l.MemoryMB > math.MaxInt32:
 		return Config{}, fmt.Errorf("limits.memory_mb: want 1 or more, got %v", l.MemoryMB)
-	case l.Sockets < leastSockets:
-		return Config{}, fmt.Errorf("limits.sockets: want %d or more, got %d", leastSockets, l.Sockets)
+	case l.Sockets < minSockets:
+		return Config{}, fmt.Errorf("limits.sockets: want %d or more, got %d", minSockets, l.Sockets)
 	case !known:
 		return Config{}, errors.New("known: missing")
 	case !settings:
@@ -194,21 +194,21 @@
 	if err := c.Settings.Validate(); err != nil {
 		return Config{}, fmt.Errorf("settings: %w", err)
 	}
-	if err := nodeLimits(rest, &c); err != nil {
+	if err := decodeNodeLimits(hostSettings, &c); err != nil {
 		return Config{}, err
 	}
 	return c, nil
 }
 
-// nodeLimits reads those settings that the module leaves to its host.
-func nodeLimits(settings []byte, c *Config) error {
+// decodeNodeLimits decodes the settings that the module leaves to its host.
+func decodeNodeLimits(hostSettings []byte, c *Config) error {
 	var s struct {
 		Limits struct {
 			MaxOpen        float64 `json:"maxOpen"`
 			ConnectTimeout float64 `json:"connectTimeout"`
 		} `json:"limits"`
 	}
-	if err := field.Unmarshal(settings, &s); err != nil {
+	if err := field.Unmarshal(hostSettings, &s); err != nil {
 		return fmt.Errorf("settings.%w", err)
 	}
 	switch l := s.Limits; {
--- a/internal/node/config_test.go
+++ b/internal/node/config_test.go
@@ -36,7 +36,7 @@
 		len(c.Known.Members) != 1 || c.Known.Revision != 7 || c.Settings.Zone != "a" {
 		t.Errorf("got %+v", c)
 	}
-	if most := c.following().MaxListSize; most != 48<<20 {
+	if most := c.discoveryConfig().MaxListSize; most != 48<<20 {
 		t.Errorf("lists of up to %d bytes are taken, want a quarter of the memory", most)
 	}
 }
--- a/internal/node/crossings_test.go
+++ b/internal/node/crossings_test.go
@@ -36,11 +36,11 @@
 // for the mutex of all connections, and the close for the reader; neither may wait for ever, and what comes then
 // is not read.
 func TestCloseMeetsTheReader(t *testing.T) {
-	for name, closes := range map[string]func(*clients){
-		"for room":           func(l *clients) { l.evict() },
-		"as it is sent away": func(l *clients) { l.mu.Unlock(); l.closeIdle(time.Now().Add(time.Hour)); l.mu.Lock() },
-		"for a server":       func(l *clients) { l.most = 0; l.mu.Unlock(); l.reclaim(); l.mu.Lock() },
-		"as two share":       func(l *clients) { l.mu.Unlock(); l.bound(0); l.mu.Lock() },
+	for name, closes := range map[string]func(*clientListener){
+		"for room":           func(l *clientListener) { l.evict() },
+		"as it is sent away": func(l *clientListener) { l.mu.Unlock(); l.closeIdle(time.Now().Add(time.Hour)); l.mu.Lock() },
+		"for a server":       func(l *clientListener) { l.baseLimit = 0; l.mu.Unlock(); l.reclaim(); l.mu.Lock() },
+		"as two share":       func(l *clientListener) { l.mu.Unlock(); l.setBaseLimit(0); l.mu.Lock() },
 	} {
 		t.Run(name, func(t *testing.T) {
 			l, dial := testClients(t, 10)
@@ -71,8 +71,8 @@
 			if n, err := theirs.Read(make([]byte, 1)); n != 0 || err != io.EOF {
 				t.Errorf("the client got %d bytes, %v; want the end", n, err)
 			}
-			if l.left() != 0 {
-				t.Errorf("%d connections are left", l.left())
+			if l.openCount() != 0 {
+				t.Errorf("%d connections are left", l.openCount())
 			}
 		})
 	}
@@ -90,7 +90,7 @@
 	if _, err := io.WriteString(theirs, "GET / HTTP/1.1\r\nHost: a\r\n\r\n"); err != nil {
 		t.Fatal(err)
 	}
-	await(t, "the request", func() bool { return unread(ours.TCPConn) })
+	await(t, "the request", func() bool { return hasUnread(ours.TCPConn) })
 	if n, err := ours.Read(make([]byte, 100)); n != 0 || err == nil {
 		t.Errorf("%d bytes, %v", n, err)
 	}
@@ -100,13 +100,13 @@
 // and the end, and may go on sending until it has seen that.
 func TestAnswerOutlivesWhatArrivesAtTheClose(t *testing.T) {
 	l, dial := testClients(t, 10)
-	l.linger = long
+	l.lingerTime = long
 	theirs, ours := dial()
 	says(t, theirs, ours, "GET / HTTP/1.1\r\nHost: a\r\n\r\n")
 	if _, err := io.WriteString(ours, "answer"); err != nil {
 		t.Fatal(err)
 	}
-	ours.answered()
+	ours.markAnswered()
 	closed := make(chan error, 1)
 	go func() { closed <- ours.Close() }()
 	if got, err := io.ReadAll(theirs); string(got) != "answer" || err != nil {
@@ -152,7 +152,7 @@
 			t.Fatal(err)
 		}
 		s := newServer(c, l)
-		defer s.life.end()
+		defer s.lifecycle.stopDraining()
 		accepts, ended := make(chan error), make(chan struct{})
 		go func() {
 			s.drain(c, newClients(silentListener{make(chan struct{})}, 10), accepts, false)
@@ -187,7 +187,7 @@
 			go func() { l.run(ctx, c.Known); close(loopEnd) }()
 			defer func() { cancel(); <-loopEnd }()
 			s := newServer(c, l)
-			defer s.life.end()
+			defer s.lifecycle.stopDraining()
 			silent := silentListener{make(chan struct{})}
 			clients := newClients(silent, 10)
 			clients.open = 1 // one that never ends
@@ -221,8 +221,8 @@
 			}
 			return nil
 		})
-		dial := l.up.dial
-		l.up.dial = func(ctx context.Context, network, addr string) (net.Conn, error) {
+		dial := l.upstream.dial
+		l.upstream.dial = func(ctx context.Context, network, addr string) (net.Conn, error) {
 			c, err := dial(context.WithoutCancel(ctx), network, addr)
 			<-ctx.Done()
 			if !comes {
@@ -237,7 +237,7 @@
 		if len(got) > 0 {
 			t.Errorf("it was sent on (the connection comes up %v)", comes)
 		}
-		if open, idle := l.up.counts("s0"); open != idle {
+		if open, idle := l.upstream.counts("s0"); open != idle {
 			t.Errorf("%d connections open, %d idle", open, idle)
 		}
 	}
@@ -252,21 +252,21 @@
 		t.Fatal(err)
 	}
 	defer h.leave()
-	life := &lifecycle{noteStandby: h.noteStandby}
-	defer life.end()
-	life.load()
+	life := &lifecycle{recordStandby: h.recordStandby}
+	defer life.stopDraining()
+	life.markServersKnown()
 	for _, on := range []bool{true, false, true} {
-		if err := h.write(snapshot{Saved: time.Now(), Standby: !on}); err != nil { // as it was before
+		if err := h.writeSnapshot(snapshot{Saved: time.Now(), Standby: !on}); err != nil { // as it was before
 			t.Fatal(err)
 		}
 		if on {
-			life.standBy()
+			life.enterStandby()
 		} else if err := life.activate(); err != nil {
 			t.Fatal(err)
 		}
 		c := testConfig(t, knownList())
 		c.Handover = dir
-		next, old := succeed(&c)
+		next, old := takeOver(&c)
 		if next == nil || old.Standby != on {
 			t.Errorf("the new process takes the old one to be in standby: %v, want %v", old.Standby, on)
 		}
--- a/internal/node/departures_test.go
+++ b/internal/node/departures_test.go
@@ -19,13 +19,13 @@
 )
 
 // serveClients runs a server for the loop's node, with nothing else around it.
-func serveClients(t *testing.T, l *loop) (addr string, all *clients) {
+func serveClients(t *testing.T, l *loop) (addr string, all *clientListener) {
 	t.Helper()
 	return serveClientsOf(t, newServer(testConfig(t, knownList("127.0.0.1:9")), l))
 }
 
 // serveClientsOf is serveClients for a server of the test's own.
-func serveClientsOf(t *testing.T, s *server) (addr string, all *clients) {
+func serveClientsOf(t *testing.T, s *server) (addr string, all *clientListener) {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -35,7 +35,7 @@
 	all = newClients(ln, 100)
 	go func() { served <- s.http.Serve(all) }()
 	t.Cleanup(func() {
-		all.cutOff()
+		all.stopLingering()
 		s.http.Close()
 		receive(t, "the end of serving", served)
 	})
@@ -51,7 +51,7 @@
 	t.Cleanup(func() {
 		cancel()
 		receive(t, "the loop's end", ended)
-		l.up.close()
+		l.upstream.close()
 	})
 }
 
@@ -102,7 +102,7 @@
 					_ = c.CloseWrite()
 				}
 				receive(t, "the end of the attempt", ended)
-				await(t, "the end of the connection", func() bool { return all.left() == 0 })
+				await(t, "the end of the connection", func() bool { return all.openCount() == 0 })
 				if len(got) > 0 {
 					t.Errorf("%d more attempts", len(got))
 				}
@@ -115,8 +115,8 @@
 func TestWhoLeftBeforeItsBodyHadRoomIsNotServed(t *testing.T) {
 	l, module := startLoop(t, "127.0.0.1:9", func(policy.Time, policy.Event) []policy.Action { return nil })
 	node, all := serveClients(t, l)
-	room := l.up.memory
-	most := max(leastBudget, int64(budgetPart*float64(64<<20)))
+	room := l.upstream.memory
+	most := max(minBudget, int64(budgetFraction*float64(64<<20)))
 	if !room.requests.TryAcquire(most) {
 		t.Fatal("the room is not empty")
 	}
@@ -140,7 +140,7 @@
 	c.Close()
 	await(t, "the client's end", conn.ending)
 	room.requests.Release(most)
-	await(t, "the end of the connection", func() bool { return all.left() == 0 })
+	await(t, "the end of the connection", func() bool { return all.openCount() == 0 })
 	module.has(t, "list 2")
 	if !room.empty(t) {
 		t.Error("it left something in the room for bodies")
@@ -150,7 +150,7 @@
 func (c *clientConn) watchedBody() bool {
 	c.owner.mu.Lock()
 	defer c.owner.mu.Unlock()
-	return c.watch.body > 0
+	return c.scanner.bodyLeft > 0
 }
 
 // ending tells whether the client's end has come, behind whatever is unread.
@@ -172,8 +172,8 @@
 			addr := httpServer(t, func(_ http.ResponseWriter, r *http.Request) { got <- r.Header.Get("X-Request-Id") })
 			dialling, dials := make(chan struct{}), atomic.Int32{}
 			l, module := startLoop(t, addr, sendEach)
-			dial := l.up.dial
-			l.up.dial = func(ctx context.Context, network, addr string) (net.Conn, error) {
+			dial := l.upstream.dial
+			l.upstream.dial = func(ctx context.Context, network, addr string) (net.Conn, error) {
 				if dials.Add(1) > 1 {
 					return dial(ctx, network, addr)
 				}
@@ -188,7 +188,7 @@
 			}
 			x := l.arriveNow("r1", long)
 			receive(t, "the dial", dialling)
-			l.send(departure{x: x})
+			l.send(departure{request: x})
 			module.has(t, "list 2", "request r1", "lapsed r1",
 				fmt.Sprintf("outcome r1 0 code %d ended true", policy.Cancelled))
 			y := l.arriveNow("r2", long)
@@ -198,7 +198,7 @@
 			if id := receive(t, "a request", got); id != "r2" || len(got) > 0 {
 				t.Errorf("the server got %s and %d more, want r2 alone", id, len(got))
 			}
-			await(t, "the end of all", func() bool { open, idle := l.up.counts("s0"); return open == idle })
+			await(t, "the end of all", func() bool { open, idle := l.upstream.counts("s0"); return open == idle })
 		})
 	}
 }
@@ -244,10 +244,10 @@
 			conn.Close()
 		}
 		await(t, "the end of all", func() bool {
-			open, _ := l.up.counts("s0")
-			return all.left() == 0 && open == 0 && strings.Contains(module.String(), " s0=0/")
+			open, _ := l.upstream.counts("s0")
+			return all.openCount() == 0 && open == 0 && strings.Contains(module.String(), " s0=0/")
 		})
-		if !l.up.memory.empty(t) {
+		if !l.upstream.memory.empty(t) {
 			t.Error("something is left in the room for bodies")
 		}
 	}
--- a/internal/node/events.go
+++ b/internal/node/events.go
@@ -7,40 +7,40 @@
 	"cobaltward/internal/discovery"
 )
 
-// priority orders the events that wait for the loop: what binds attempts goes before what asks for them.
+// priority orders the events that wait for the loop: events that restrict attempts precede those that request them.
 type priority int
 
 const (
-	// controlPriority is of news of the list, of clients that leave, and of what the process is told.
+	// controlPriority is for list news, departures of clients and events of the process itself.
 	controlPriority priority = iota
-	// outcomePriority is of what attempts have come to.
+	// outcomePriority is for the outcomes of attempts.
 	outcomePriority
-	// arrivalPriority is of new requests.
+	// arrivalPriority is for new requests.
 	arrivalPriority
-	priorities
+	priorityCount
 )
 
-// priorityOf sorts an event.
+// priorityOf returns an event's priority.
 func priorityOf(ev any) priority {
 	switch ev.(type) {
 	case arrival:
 		return arrivalPriority
-	case ending, uploaded:
+	case attemptEnd, uploadEnd:
 		return outcomePriority
 	}
 	return controlPriority
 }
 
-// kindOf names an event in metrics and logs.
+// kindOf returns an event's name in metrics and logs.
 func kindOf(ev any) string {
 	switch ev.(type) {
 	case arrival:
 		return "arrival"
 	case departure:
 		return "departure"
-	case ending, uploaded:
+	case attemptEnd, uploadEnd:
 		return "outcome"
-	case heardNews, restoredSnapshot:
+	case receivedUpdate, predecessorList:
 		return "list"
 	case timerDue:
 		return "timer"
@@ -48,39 +48,40 @@
 	return "other"
 }
 
-// heardNews is news of the list with its sequence number among all that was heard: the greater, the later. What the process
-// knew at its start, or took over, has 0.
-type heardNews struct {
-	discovery.News
-	sequence uint64
-	heard    time.Time // by this process
+// receivedUpdate is discovery news with its sequence number, which grows with each receipt. A list that was known at the
+// start or taken over from another process has 0.
+type receivedUpdate struct {
+	discovery.Update
+	sequence   uint64
+	receivedAt time.Time // when this process received it; zero: it came from no discovery server
 }
 
-// timerDue stands for the module's timers in the metrics of events.
+// timerDue represents the decision module's timers in the event metrics.
 type timerDue struct{}
 
-// queuedEvent is an event and when it was handed in.
+// queuedEvent is an event with the time at which it was queued.
 type queuedEvent struct {
-	event any
-	since time.Time
+	event    any
+	queuedAt time.Time
 }
 
-// eventQueue hands events to the loop, by priority and in their order. It never blocks those who hand them in: requests are
-// bounded by the connections of clients, outcomes by the attempts, and the rest by who sends it.
+// eventQueue is the loop's queue: events are taken by priority, and in FIFO order within one. It is unbounded, so push
+// never blocks: the number of requests is bounded by the client connections, that of outcomes by the attempts, and that
+// of the other events by their senders.
 type eventQueue struct {
-	wake chan struct{} // holds one while there may be something to take
+	wake chan struct{} // has one element while events may be queued
 
-	mu      sync.Mutex
-	waiting [priorities]fifo
+	mu     sync.Mutex
+	queues [priorityCount]fifo
 }
 
 func newEventQueue() *eventQueue { return &eventQueue{wake: make(chan struct{}, 1)} }
 
-// push hands an event in.
+// push queues an event and wakes the loop.
 func (q *eventQueue) push(ev any) {
 	now := time.Now()
 	q.mu.Lock()
-	q.waiting[priorityOf(ev)].push(queuedEvent{ev, now})
+	q.queues[priorityOf(ev)].push(queuedEvent{ev, now})
 	q.mu.Unlock()
 	select {
 	case q.wake <- struct{}{}:
@@ -88,59 +89,59 @@
 	}
 }
 
-// take returns the event whose turn is next, if there is one.
-func (q *eventQueue) take() (queuedEvent, bool) {
+// pop removes and returns the next event, if there is one.
+func (q *eventQueue) pop() (queuedEvent, bool) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	for i := range q.waiting {
-		if q.waiting[i].len() > 0 {
-			return q.waiting[i].pop(), true
+	for i := range q.queues {
+		if q.queues[i].len() > 0 {
+			return q.queues[i].pop(), true
 		}
 	}
 	return queuedEvent{}, false
 }
 
-// length is how many events wait.
+// length returns the number of queued events.
 func (q *eventQueue) length() (n int) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	for i := range q.waiting {
-		n += q.waiting[i].len()
+	for i := range q.queues {
+		n += q.queues[i].len()
 	}
 	return n
 }
 
-// oldestArrival is when the request was handed in that waits longest; zero if none waits.
+// oldestArrival returns when the longest-waiting request was queued; zero if none waits.
 func (q *eventQueue) oldestArrival() time.Time {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	if w := &q.waiting[arrivalPriority]; w.len() > 0 {
-		return w.events[w.first].since
+	if queue := &q.queues[arrivalPriority]; queue.len() > 0 {
+		return queue.events[queue.head].queuedAt
 	}
 	return time.Time{}
 }
 
-// fifo is events in their order.
+// fifo is a first-in, first-out queue of events.
 type fifo struct {
 	events []queuedEvent
-	first  int
+	head   int
 }
 
-func (f *fifo) len() int { return len(f.events) - f.first }
+func (f *fifo) len() int { return len(f.events) - f.head }
 
 func (f *fifo) push(ev queuedEvent) { f.events = append(f.events, ev) }
 
 func (f *fifo) pop() queuedEvent {
-	ev := f.events[f.first]
-	f.events[f.first] = queuedEvent{}
-	if f.first++; f.first == len(f.events) {
-		f.events, f.first = f.events[:0], 0
-	} else if f.first >= fifoSlack && 2*f.first >= len(f.events) { // else a queue that is never empty grows for ever
-		f.events = f.events[:copy(f.events, f.events[f.first:])]
-		f.first = 0
+	ev := f.events[f.head]
+	f.events[f.head] = queuedEvent{}
+	if f.head++; f.head == len(f.events) {
+		f.events, f.head = f.events[:0], 0
+	} else if f.head >= fifoSlack && 2*f.head >= len(f.events) { // a queue that never becomes empty would otherwise grow without bound
+		f.events = f.events[:copy(f.events, f.events[f.head:])]
+		f.head = 0
 	}
 	return ev
 }
 
-// fifoSlack is how many taken events a fifo holds room for before it moves the others to the front.
+// fifoSlack is how many popped slots a fifo keeps before it moves the remaining events to the front.
 const fifoSlack = 64
--- a/internal/node/final_answers.go
+++ b/internal/node/final_answers.go
@@ -12,10 +12,10 @@
 
 func (l *loop) refuse(r *request, wait time.Duration, why string) {
 	class := l.classes[r.req.Class]
-	if denied := invariant.MayRefuse(class.Repeat, class.Group, l.prior(r, class, "")); denied != invariant.None {
-		l.monitor.Misdirected(denied, r.req.ID, "why", why, "attempts", r.history())
+	if denied := invariant.MayRefuse(class.Repeat, class.Group, l.priorAttempts(r, class, "")); denied != invariant.None {
+		l.monitor.DenyUnexpected(denied, r.req.ID, "why", why, "attempts", r.history())
 		l.answer(r, answer{status: http.StatusBadGateway}, why)
-		l.drop(r)
+		l.dropIfDone(r)
 		return
 	}
 	a := answer{status: http.StatusServiceUnavailable}
@@ -23,76 +23,75 @@
 		a = answer{status: http.StatusTooManyRequests, retryAfter: wait}
 	}
 	l.answer(r, a, why)
-	l.drop(r)
+	l.dropIfDone(r)
 }
 
-// answer gives the client its one answer; whatever comes later is not passed on. The log is told who
-// ended the request, or why.
+// answer sends the client its only answer; later answers are dropped. by tells the log what ended the request.
 func (l *loop) answer(r *request, a answer, by string) {
 	if r.ended {
 		return
 	}
-	l.settle(r)
-	if !r.claim(answeredByLoop) { // its handler was first; the event that says so has not been taken up
-		a.drop()
-		l.traceHandlersEnd(r)
+	l.markEnded(r)
+	if !r.claim(answeredByLoop) { // the handler answered first, and its event has not been handled yet
+		a.discard()
+		l.traceHandlerEnd(r)
 		return
 	}
 	now := l.clock.now()
-	if broken := invariant.InTime(now, r.deadline+r.margin()); broken != invariant.None {
-		l.monitor.Violation(broken, r.req.ID, "after", now-r.came, "waits", r.clientWaits, "by", by)
+	if broken := invariant.CheckAnswerTime(now, r.deadline+r.margin()); broken != invariant.None {
+		l.monitor.Violation(broken, r.req.ID, "after", now-r.arrivedAt, "waits", r.clientTimeout, "by", by)
 	}
-	l.trace.answered(now, r, a, by)
+	l.requestLog.recordEnd(now, r, a, by)
 	r.reply <- a
 }
 
-// traceHandlersEnd notes the end of a request that its handler has ended.
-func (l *loop) traceHandlersEnd(r *request) {
+// traceHandlerEnd traces the end of a request that its handler has ended.
+func (l *loop) traceHandlerEnd(r *request) {
 	if r.currentState() == clientLeft {
-		l.trace.answered(l.clock.now(), r, answer{}, "client left")
+		l.requestLog.recordEnd(l.clock.now(), r, answer{}, "client left")
 		return
 	}
-	by := shedForTime
+	by := reasonLoopLate
 	if l.stopping {
-		by = endedByStop
+		by = reasonStopping
 	}
-	l.trace.answered(l.clock.now(), r, r.handlersAnswer(), by)
+	l.requestLog.recordEnd(l.clock.now(), r, r.handlerAnswer(), by)
 }
 
-// fail gives the client its one answer where the module has none in time.
+// fail answers the client when the module hasn't answered in time.
 func (l *loop) fail(ctx context.Context, r *request, status int, by string) {
-	l.overrule(ctx, r, answer{status: status}, by)
+	l.answerForModule(ctx, r, answer{status: status}, by)
 }
 
-// stop ends a request that is open as the process ends. One that was never tried is refused.
+// stop ends an open request when the process ends. A request that was never attempted is refused.
 func (l *loop) stop(ctx context.Context, r *request) {
 	a := answer{status: http.StatusBadGateway}
-	if r.currentState() == requestOpen { // and the loop alone tries
-		a = ownRefusal()
+	if r.currentState() == requestOpen { // only the loop begins attempts
+		a = nodeRefusal()
 	}
-	l.overrule(ctx, r, a, endedByStop)
+	l.answerForModule(ctx, r, a, reasonStopping)
 }
 
-// overrule gives the client its one answer in the module's place, and tells the module so.
-func (l *loop) overrule(ctx context.Context, r *request, a answer, by string) {
+// answerForModule answers the client instead of the module, and informs the module.
+func (l *loop) answerForModule(ctx context.Context, r *request, a answer, by string) {
 	l.answer(r, a, by)
-	l.tell(ctx, policy.Lapsed{ID: r.req.ID})
-	l.drop(r)
+	l.notifyModule(ctx, policy.ClientGone{ID: r.req.ID})
+	l.dropIfDone(r)
 }
 
-// settle marks r as answered, or given up by its client: the first to do so wins.
-func (l *loop) settle(r *request) {
+// markEnded marks r as answered or abandoned by its client, whichever is first.
+func (l *loop) markEnded(r *request) {
 	r.ended = true
-	l.owed--
-	if r.backstop.at >= 0 { // else it would keep the request until a deadline that may be far off
-		heap.Remove(&l.timers, r.backstop.at)
+	l.unanswered--
+	if r.deadlineTimer.index >= 0 { // otherwise the timer would keep the request in memory until a deadline that may be far off
+		heap.Remove(&l.timers, r.deadlineTimer.index)
 	}
 }
 
-// drop forgets a request that is answered and has no attempt out.
-func (l *loop) drop(r *request) {
-	if r.ended && r.pending == 0 && l.requests[r.req.ID] == r {
+// dropIfDone forgets a request that has ended and has no attempt under way.
+func (l *loop) dropIfDone(r *request) {
+	if r.ended && r.pendingAttempts == 0 && l.requests[r.req.ID] == r {
 		delete(l.requests, r.req.ID)
-		r.leave()
+		r.cancel()
 	}
 }
--- a/internal/node/freshness_test.go
+++ b/internal/node/freshness_test.go
@@ -243,18 +243,18 @@
 	c.Seed, c.Discovery = seed, "old:1"
 	set := &c.Settings
 	set.Node, set.Nodes, set.Subscribe = n, nodes, subscribe
-	set.Rules.DrainGrace, set.Rules.AskWithin = drainGrace, 10*time.Second
+	set.Rules.DrainGrace, set.Rules.ListRefreshWithin = drainGrace, 10*time.Second
 	l, err := newLoop(c, clock{start: time.Now()}, newUpstream(c, 10))
 	if err != nil {
 		t.Fatal(err)
 	}
-	follow := c.following()
+	follow := c.discoveryConfig()
 	follow.Dial = r.dial(fmt.Sprint(n))
-	l.disc = discovery.New(follow, func(n discovery.News) { l.send(n) })
+	l.discovery = discovery.New(follow, func(n discovery.Update) { l.send(n) })
 	ctx, cancel := context.WithCancel(context.Background())
 	var parts sync.WaitGroup
 	parts.Go(func() { l.run(ctx, c.Known) })
-	parts.Go(func() { l.disc.Run(ctx) })
+	parts.Go(func() { l.discovery.Run(ctx) })
 	t.Cleanup(func() { cancel(); parts.Wait() })
 	return l
 }
@@ -388,7 +388,7 @@
 					r.mu.Unlock()
 					before := r.asked()
 					for _, l := range fleet {
-						l.disc.Move("new:1")
+						l.discovery.Move("new:1")
 					}
 					time.Sleep(4*time.Second + drainGrace)
 					late := 0
@@ -507,7 +507,7 @@
 							return ""
 						}
 						r.mu.Unlock()
-						l.disc.Move("new:1")
+						l.discovery.Move("new:1")
 						moved := time.Now()
 						time.Sleep(4*time.Second + drainGrace)
 						if !drains(l) {
@@ -637,20 +637,20 @@
 func TestAskedListsTellFailures(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		time.Sleep(time.Nanosecond)
-		r, told := newRegistry(t), make(chan discovery.News, 100)
+		r, told := newRegistry(t), make(chan discovery.Update, 100)
 		r.spoil = func(int) string { return "503" }
 		c := testConfig(t, knownList("127.0.0.1:9"))
 		c.Discovery, c.Settings.Subscribe, c.Settings.Rules.DrainGrace = "old:1", true, drainGrace
-		follow := c.following()
+		follow := c.discoveryConfig()
 		follow.Dial = r.dial("0")
-		d := discovery.New(follow, func(n discovery.News) { told <- n })
+		d := discovery.New(follow, func(n discovery.Update) { told <- n })
 		ctx, cancel := context.WithCancel(t.Context())
 		var parts sync.WaitGroup
 		parts.Go(func() { d.Run(ctx) })
 		defer parts.Wait()
 		defer cancel()
 		for range 3 {
-			d.Ask(true)
+			d.RequestUpdates(true)
 			began := time.Now()
 			if n := <-told; n.Kind != policy.ListUnavailable {
 				t.Fatalf("news %+v", n)
@@ -668,7 +668,7 @@
 		r.spoil = func(int) string { return "" }
 		r.mu.Unlock()
 		r.change(entry("s1", "up"))
-		d.Ask(true)
+		d.RequestUpdates(true)
 		if n := <-told; n.Kind != policy.ListUpdate || len(n.Members) != 1 {
 			t.Errorf("news %+v", n)
 		}
--- a/internal/node/handover.go
+++ b/internal/node/handover.go
@@ -19,54 +19,54 @@
 )
 
 const (
-	handoverVersion = 1
-	snapshotEvery   = 250 * time.Millisecond // what a successor should know is written
-	snapshotApart   = 50                     // times what writing one takes
-	snapshotFor     = 3 * time.Second        // and holds
-	followEvery     = 50 * time.Millisecond  // looks at the other process while there are two
-	maxHandover     = 4 << 20                // bytes of it
-	leastOfEach     = 8                      // connections on each side that a process has in any case
-	lockSuffix      = ".lock"
-	stateSuffix     = ".state"
-	standbySuffix   = ".standby" // is there while its process is in standby
-	newSuffix       = ".new"     // of a file that is not whole yet
-	handoverPrefix  = "wayhold-"
+	handoverVersion    = 1
+	snapshotInterval   = 250 * time.Millisecond // between writes of the snapshot for a successor
+	snapshotCostFactor = 50                     // times the duration of a write, as the least time between writes
+	maxSnapshotAge     = 3 * time.Second        // a snapshot that is older is ignored
+	followInterval     = 50 * time.Millisecond  // between checks of the other process while there are two
+	maxSnapshotSize    = 4 << 20                // bytes of a snapshot
+	minConnsPerSide    = 8                      // connections that a process always has on each side
+	lockSuffix         = ".lock"
+	stateSuffix        = ".state"
+	standbySuffix      = ".standby" // exists while its process is in standby
+	tempSuffix         = ".new"     // of a file that is incomplete
+	handoverPrefix     = "wayhold-"
 
-	// A folder, or a process without descriptors, may fail for a while.
-	joinWithin      = 2 * time.Second // of the 6 s in which a new process has to be ready
-	folderPause     = 5 * time.Millisecond
-	folderPauseMost = 100 * time.Millisecond
+	// Joining may fail for a while, because of the folder or of a lack of file descriptors.
+	joinTimeout    = 2 * time.Second // of the 6 s in which a new process must be ready
+	minFolderPause = 5 * time.Millisecond
+	maxFolderPause = 100 * time.Millisecond
 )
 
-// handover is what the two processes of a node share in an upgrade, in a folder that both see. Each holds a
-// lock for as long as it lives, so that neither a crash nor a number used again makes the dead look alive;
-// the later one has the greater number. Beside it lies what a successor should know.
+// handover is what the two processes of a node share during an upgrade, in a folder that both can access. Each process
+// holds a lock on a file for as long as it runs, so that neither a crash nor a reused number makes a dead process look
+// alive. The later process has the greater number. Beside the lock file is the snapshot for a successor.
 type handover struct {
-	dir    string
-	id     int64
-	before int64 // the living process that came before; 0: none
-	lock   *os.File
-	later  atomic.Bool // a later process lived when it could last be told
+	dir            string
+	id             int64
+	predecessor    int64 // the id of the running process before this one; 0: none
+	lock           *os.File
+	successorAlive atomic.Bool // a later process was running at the last successful check
 
-	mu      sync.Mutex
-	standby bool // as operators said last
-	noted   bool // and a successor can read it
-	warned  bool // that it can't
+	mu             sync.Mutex
+	standby        bool // as last set by operators
+	standbyWritten bool // the standby file matches standby
+	standbyWarned  bool // a failure to write the standby file was logged
 }
 
-// join enters the folder, and clears away what the dead left there.
+// join enters the folder, and removes the files of dead processes.
 func join(dir string) (*handover, error) {
-	ids, err := living(dir)
+	ids, err := livingProcesses(dir)
 	if err != nil {
 		return nil, err
 	}
-	h := &handover{dir: dir, noted: true}
+	h := &handover{dir: dir, standbyWritten: true}
 	for _, id := range ids {
-		h.before = max(h.before, id)
+		h.predecessor = max(h.predecessor, id)
 	}
-	h.id = max(time.Now().UnixNano(), h.before+1)
-	// Locked before it gets its name: under that, what isn't locked is dead.
-	if h.lock, err = os.CreateTemp(dir, handoverPrefix+"*"+newSuffix); err != nil {
+	h.id = max(time.Now().UnixNano(), h.predecessor+1)
+	// Locked before the rename, since an unlocked file of the final name belongs to a dead process.
+	if h.lock, err = os.CreateTemp(dir, handoverPrefix+"*"+tempSuffix); err != nil {
 		return nil, err
 	}
 	if err = flock(h.lock, syscall.LOCK_EX); err == nil {
@@ -80,17 +80,17 @@
 	return h, nil
 }
 
-// joinPatiently is join, again for a while where the folder, or the process, lacks something for a moment.
-func joinPatiently(dir string) (h *handover, err error) {
-	pauses := syserr.Backoff{First: folderPause, Most: folderPauseMost}
-	err = syserr.Retry(context.Background(), joinWithin, pauses, func() (err error) {
+// joinWithRetry is join with retries for temporary failures of the folder or of this process.
+func joinWithRetry(dir string) (h *handover, err error) {
+	pauses := syserr.Backoff{Initial: minFolderPause, Max: maxFolderPause}
+	err = syserr.Retry(context.Background(), joinTimeout, pauses, func() (err error) {
 		h, err = join(dir)
 		return err
 	})
 	return h, err
 }
 
-// flock takes a lock at once or not at all.
+// flock takes a lock without blocking.
 func flock(f *os.File, how int) error {
 	for {
 		if err := syscall.Flock(int(f.Fd()), how|syscall.LOCK_NB); err != syscall.EINTR {
@@ -103,9 +103,9 @@
 	return filepath.Join(h.dir, handoverPrefix+strconv.FormatInt(id, 10)+suffix)
 }
 
-// living returns the processes whose locks are held, and removes what the others left. Where it can't look at all of
-// them, it says so: nobody is dead for that.
-func living(dir string) (ids []int64, err error) {
+// livingProcesses returns the processes whose locks are held, and removes the files of the others. It returns an error if
+// it can't check them all; no process counts as dead because of that.
+func livingProcesses(dir string) (ids []int64, err error) {
 	if err := faultpoint.Fail(faultpoint.Folder); err != nil {
 		return nil, err
 	}
@@ -128,7 +128,7 @@
 		case alive:
 			ids = append(ids, id)
 		default:
-			for _, suffix := range []string{lockSuffix, stateSuffix, stateSuffix + newSuffix, standbySuffix} {
+			for _, suffix := range []string{lockSuffix, stateSuffix, stateSuffix + tempSuffix, standbySuffix} {
 				os.Remove(name + suffix)
 			}
 		}
@@ -136,7 +136,7 @@
 	return ids, nil
 }
 
-// lockHeld tells whether a living process has the lock of that name; an error says that this can't be told now.
+// lockHeld reports whether a running process holds the lock on the named file; an error means that this is unknown.
 func lockHeld(name string) (bool, error) {
 	f, err := os.Open(name)
 	if errors.Is(err, os.ErrNotExist) {
@@ -153,32 +153,32 @@
 	return false, err
 }
 
-// succeeded tells whether a later process lives; where that can't be told now, it is as it was.
-func (h *handover) succeeded() bool {
-	ids, err := living(h.dir)
+// hasSuccessor reports whether a later process is running; if that can't be checked now, it returns the last result.
+func (h *handover) hasSuccessor() bool {
+	ids, err := livingProcesses(h.dir)
 	if err != nil {
-		return h.later.Load()
+		return h.successorAlive.Load()
 	}
 	later := false
 	for _, id := range ids {
 		later = later || id > h.id
 	}
-	h.later.Store(later)
+	h.successorAlive.Store(later)
 	return later
 }
 
-// beforeLives tells whether the process that came before is there still.
-func (h *handover) beforeLives() bool {
-	if h.before == 0 {
+// predecessorAlive reports whether the process before this one is still running.
+func (h *handover) predecessorAlive() bool {
+	if h.predecessor == 0 {
 		return false
 	}
-	if alive, err := lockHeld(h.path(h.before, lockSuffix)); err == nil && !alive {
-		h.before = 0
+	if alive, err := lockHeld(h.path(h.predecessor, lockSuffix)); err == nil && !alive {
+		h.predecessor = 0
 	}
-	return h.before != 0
+	return h.predecessor != 0
 }
 
-// leave takes away what this process put into the folder.
+// leave removes this process's files from the folder.
 func (h *handover) leave() {
 	os.Remove(h.path(h.id, stateSuffix))
 	os.Remove(h.path(h.id, standbySuffix))
@@ -186,43 +186,43 @@
 	h.lock.Close()
 }
 
-// noteStandby tells a successor at once what operators said, before they hear that it is done: the rest of its
-// snapshot is written now and then, and a new process may be started in between.
-func (h *handover) noteStandby(on bool) {
+// recordStandby writes the standby state for a successor at once, before operators are told that it is done: the snapshot
+// is written only periodically, and a new process may be started in between.
+func (h *handover) recordStandby(on bool) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.standby, h.noted = on, false
-	h.note()
+	h.standby, h.standbyWritten = on, false
+	h.writeStandby()
 }
 
-// noteAgain notes what could not be noted before.
-func (h *handover) noteAgain() {
+// retryStandby writes a standby state that could not be written before.
+func (h *handover) retryStandby() {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	if !h.noted {
-		h.note()
+	if !h.standbyWritten {
+		h.writeStandby()
 	}
 }
 
-func (h *handover) note() {
+func (h *handover) writeStandby() {
 	name, err := h.path(h.id, standbySuffix), error(nil)
 	if failed := faultpoint.Fail(faultpoint.Folder); failed != nil {
 		err = failed
 	} else if h.standby {
 		err = os.WriteFile(name, nil, 0o600)
 	} else if err = os.Remove(name); errors.Is(err, os.ErrNotExist) {
-		_, err = os.Stat(h.dir) // in a folder that is there
+		_, err = os.Stat(h.dir) // fails if the folder doesn't exist
 	}
-	if h.noted = err == nil; !h.noted && !h.warned {
-		slog.Warn("handover: a successor does not hear of standby yet", "on", h.standby, "err", err)
+	if h.standbyWritten = err == nil; !h.standbyWritten && !h.standbyWarned {
+		slog.Warn("handover: standby state not written for a successor", "on", h.standby, "err", err)
 	}
-	h.warned = !h.noted
+	h.standbyWarned = !h.standbyWritten
 }
 
-// write leaves word for a successor, whole or not at all.
-func (h *handover) write(l snapshot) error {
-	l.Monotonic = monotonic()
-	raw, err := encodeSnapshot(l)
+// writeSnapshot writes the snapshot for a successor atomically.
+func (h *handover) writeSnapshot(s snapshot) error {
+	s.Monotonic = monotonicNanos()
+	raw, err := encodeSnapshot(s)
 	if err != nil {
 		return err
 	}
@@ -230,27 +230,27 @@
 		return err
 	}
 	name := h.path(h.id, stateSuffix)
-	if err := os.WriteFile(name+newSuffix, raw, 0o600); err != nil {
+	if err := os.WriteFile(name+tempSuffix, raw, 0o600); err != nil {
 		return err
 	}
-	return os.Rename(name+newSuffix, name)
+	return os.Rename(name+tempSuffix, name)
 }
 
-// read takes in what a process left, if it is whole and fresh.
-func (h *handover) read(id int64, now time.Time) (snapshot, error) {
+// readSnapshot reads the snapshot of another process, if it is complete and recent.
+func (h *handover) readSnapshot(id int64, now time.Time) (snapshot, error) {
 	f, err := os.Open(h.path(id, stateSuffix))
 	if err != nil {
 		return snapshot{}, err
 	}
 	defer f.Close()
-	raw, err := io.ReadAll(io.LimitReader(f, maxHandover)) // the checksum tells if that isn't all
+	raw, err := io.ReadAll(io.LimitReader(f, maxSnapshotSize)) // if it is truncated, the checksum doesn't match
 	if err != nil {
 		return snapshot{}, err
 	}
-	l, err := decodeSnapshot(raw, now)
+	s, err := decodeSnapshot(raw, now)
 	if err == nil {
-		_, none := os.Stat(h.path(id, standbySuffix))
-		l.Standby = none == nil
+		_, statErr := os.Stat(h.path(id, standbySuffix))
+		s.Standby = statErr == nil
 	}
-	return l, err
+	return s, err
 }
--- a/internal/node/handover_faults_test.go
+++ b/internal/node/handover_faults_test.go
@@ -41,7 +41,7 @@
 		t.Fatal(err)
 	}
 	defer old.leave()
-	if err := old.write(snapshot{Saved: time.Now(), Revision: 7}); err != nil {
+	if err := old.writeSnapshot(snapshot{Saved: time.Now(), Revision: 7}); err != nil {
 		t.Fatal(err)
 	}
 	next, err := join(dir)
@@ -49,27 +49,27 @@
 		t.Fatal(err)
 	}
 	defer next.leave()
-	if !old.succeeded() || !next.beforeLives() {
+	if !old.hasSuccessor() || !next.predecessorAlive() {
 		t.Fatal("the two don't see each other")
 	}
 	withoutDescriptors(t, func() {
 		if _, err := os.Open(dir); !errors.Is(err, syscall.EMFILE) {
 			t.Fatalf("a descriptor is left: %v", err)
 		}
-		if !old.succeeded() {
+		if !old.hasSuccessor() {
 			t.Error("the old process takes its successor for dead")
 		}
-		if !next.beforeLives() {
+		if !next.predecessorAlive() {
 			t.Error("the new process takes the old one for dead")
 		}
-		if _, err := living(dir); err == nil {
+		if _, err := livingProcesses(dir); err == nil {
 			t.Error("a look without descriptors reports who lives")
 		}
 	})
-	if left, err := next.read(old.id, time.Now()); err != nil || left.Revision != 7 {
+	if left, err := next.readSnapshot(old.id, time.Now()); err != nil || left.Revision != 7 {
 		t.Errorf("the old process's word: %+v, %v", left, err)
 	}
-	if !old.succeeded() || next.before != old.id || !next.beforeLives() {
+	if !old.hasSuccessor() || next.predecessor != old.id || !next.predecessorAlive() {
 		t.Error("one of the two counts as dead")
 	}
 }
@@ -85,26 +85,26 @@
 		t.Fatal(err)
 	}
 	defer old.leave()
-	life := &lifecycle{noteStandby: old.noteStandby}
-	defer life.end()
-	life.load()
+	life := &lifecycle{recordStandby: old.recordStandby}
+	defer life.stopDraining()
+	life.markServersKnown()
 	for _, on := range []bool{true, false} {
 		if err := os.Rename(dir, dir+"-away"); err != nil {
 			t.Fatal(err)
 		}
 		if on {
-			life.standBy()
+			life.enterStandby()
 		} else if err := life.activate(); err != nil {
 			t.Fatal(err)
 		}
 		if err := os.Rename(dir+"-away", dir); err != nil {
 			t.Fatal(err)
 		}
-		old.noteAgain()
-		if err := old.write(snapshot{Saved: time.Now()}); err != nil {
+		old.retryStandby()
+		if err := old.writeSnapshot(snapshot{Saved: time.Now()}); err != nil {
 			t.Fatal(err)
 		}
-		if left, err := old.read(old.id, time.Now()); err != nil || left.Standby != on {
+		if left, err := old.readSnapshot(old.id, time.Now()); err != nil || left.Standby != on {
 			t.Errorf("a successor hears of standby %v, %v; want %v", left.Standby, err, on)
 		}
 	}
@@ -118,15 +118,15 @@
 			t.Fatal(err)
 		}
 		defer h.leave()
-		if err := h.write(snapshot{Saved: time.Now().Add(-step), Revision: 7}); err != nil {
+		if err := h.writeSnapshot(snapshot{Saved: time.Now().Add(-step), Revision: 7}); err != nil {
 			t.Fatal(err)
 		}
-		left, err := h.read(h.id, time.Now())
+		left, err := h.readSnapshot(h.id, time.Now())
 		if err != nil || left.Revision != 7 {
 			t.Errorf("after a step by %v: %+v, %v", step, left, err)
 			continue
 		}
-		if age := time.Since(left.Saved); age < 0 || age > snapshotFor {
+		if age := time.Since(left.Saved); age < 0 || age > maxSnapshotAge {
 			t.Errorf("after a step by %v it is %v old", step, age)
 		}
 	}
@@ -137,10 +137,10 @@
 	dir := filepath.Join(t.TempDir(), "shared")
 	l, _ := startLoop(t, "127.0.0.1:9", func(policy.Time, policy.Event) []policy.Action { return nil })
 	life := new(lifecycle)
-	defer life.end()
-	life.load()
-	life.standBy()
-	s := &shared{loop: l, life: life, clients: newClients(nil, 100), up: l.up, clientSockets: 100, serverSockets: 150}
+	defer life.stopDraining()
+	life.markServersKnown()
+	life.enterStandby()
+	s := &sharedLimits{loop: l, lifecycle: life, clients: newClients(nil, 100), upstream: l.upstream, clientSockets: 100, serverSockets: 150}
 	ctx, cancel := context.WithCancel(t.Context())
 	ended := make(chan struct{})
 	var joined atomic.Pointer[handover]
@@ -152,7 +152,7 @@
 	await(t, "the process to join", func() bool { return joined.Load() != nil })
 	h := joined.Load()
 	await(t, "a snapshot with the standby", func() bool {
-		left, err := h.read(h.id, time.Now())
+		left, err := h.readSnapshot(h.id, time.Now())
 		return err == nil && left.Standby
 	})
 }
--- a/internal/node/handover_test.go
+++ b/internal/node/handover_test.go
@@ -44,8 +44,8 @@
 		raw []byte
 		at  time.Time
 	}{
-		"stale":         {raw, now.Add(snapshotFor + 1)},
-		"of the future": {raw, now.Add(-snapshotFor - 1)},
+		"stale":         {raw, now.Add(maxSnapshotAge + 1)},
+		"of the future": {raw, now.Add(-maxSnapshotAge - 1)},
 		"cut short":     {raw[:len(raw)-1], now},
 		"longer":        {append(bytes.Clone(raw), ' '), now},
 		"empty":         {nil, now},
@@ -104,8 +104,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if first.before != 0 {
-		t.Errorf("a dead process %d counts as living", first.before)
+	if first.predecessor != 0 {
+		t.Errorf("a dead process %d counts as living", first.predecessor)
 	}
 	for _, name := range []string{"wayhold-5.state", "wayhold-5.standby"} {
 		if _, err := os.Stat(filepath.Join(dir, name)); !os.IsNotExist(err) {
@@ -116,21 +116,21 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if second.before != first.id || !first.succeeded() || second.succeeded() {
-		t.Errorf("before %d, want %d; succeeded %v, %v", second.before, first.id, first.succeeded(), second.succeeded())
+	if second.predecessor != first.id || !first.hasSuccessor() || second.hasSuccessor() {
+		t.Errorf("before %d, want %d; succeeded %v, %v", second.predecessor, first.id, first.hasSuccessor(), second.hasSuccessor())
 	}
-	if _, err := second.read(first.id, now); err == nil {
+	if _, err := second.readSnapshot(first.id, now); err == nil {
 		t.Error("read what nobody wrote")
 	}
-	if err := first.write(testSnapshot(t, now)); err != nil {
+	if err := first.writeSnapshot(testSnapshot(t, now)); err != nil {
 		t.Fatal(err)
 	}
-	first.noteStandby(true)
-	if l, err := second.read(first.id, now); err != nil || l.Revision != 12 || !l.Standby {
+	first.recordStandby(true)
+	if l, err := second.readSnapshot(first.id, now); err != nil || l.Revision != 12 || !l.Standby {
 		t.Errorf("read %v, %v", l, err)
 	}
 	second.leave()
-	if first.succeeded() {
+	if first.hasSuccessor() {
 		t.Error("a process that has left still counts")
 	}
 	first.leave()
@@ -239,7 +239,7 @@
 func TestTwoProcessesShareTheLimits(t *testing.T) {
 	dir := t.TempDir()
 	now := time.Now()
-	process := func() *shared {
+	process := func() *sharedLimits {
 		h, err := join(dir)
 		if err != nil {
 			t.Fatal(err)
@@ -250,14 +250,14 @@
 		}
 		t.Cleanup(func() { ln.Close() })
 		l, _ := startLoop(t, "127.0.0.1:9", func(policy.Time, policy.Event) []policy.Action { return nil })
-		return &shared{handover: h, loop: l, life: new(lifecycle), clients: newClients(ln, 100), up: l.up,
-			clientSockets: 100, serverSockets: 150, ownSockets: 30}
+		return &sharedLimits{handover: h, loop: l, lifecycle: new(lifecycle), clients: newClients(ln, 100), upstream: l.upstream,
+			clientSockets: 100, serverSockets: 150, reservedSockets: 30}
 	}
-	check := func(when string, all ...*shared) {
+	check := func(when string, all ...*sharedLimits) {
 		t.Helper()
 		sum := 0
 		for _, s := range all {
-			sum += s.clients.bounded() + s.up.bounded() + s.ownSockets
+			sum += s.clients.currentBaseLimit() + s.upstream.openLimit() + s.reservedSockets
 		}
 		if sum > 100+150+30 {
 			t.Errorf("%s: %d descriptors, want 280 at most", when, sum)
@@ -266,25 +266,25 @@
 	old := process()
 	old.step(now)
 	check("alone", old)
-	if old.clients.bounded() != 100 || old.up.bounded() != 150 {
-		t.Errorf("alone: %d and %d, want all", old.clients.bounded(), old.up.bounded())
+	if old.clients.currentBaseLimit() != 100 || old.upstream.openLimit() != 150 {
+		t.Errorf("alone: %d and %d, want all", old.clients.currentBaseLimit(), old.upstream.openLimit())
 	}
 	next := process()
 	old.step(now)
 	next.step(now)
 	check("together", old, next)
-	old.life.close()
-	old.life.end()
+	old.lifecycle.beginClosing()
+	old.lifecycle.stopDraining()
 	old.step(now)
 	next.step(now)
 	check("while the old one ends", old, next)
-	if next.clients.bounded() < 80 {
-		t.Errorf("the new one has %d for clients while the old one has none", next.clients.bounded())
+	if next.clients.currentBaseLimit() < 80 {
+		t.Errorf("the new one has %d for clients while the old one has none", next.clients.currentBaseLimit())
 	}
 	old.leave()
 	next.step(now)
-	if next.clients.bounded() != 100 || next.up.bounded() != 150 {
-		t.Errorf("alone again: %d and %d, want all", next.clients.bounded(), next.up.bounded())
+	if next.clients.currentBaseLimit() != 100 || next.upstream.openLimit() != 150 {
+		t.Errorf("alone again: %d and %d, want all", next.clients.currentBaseLimit(), next.upstream.openLimit())
 	}
 	next.leave()
 }
@@ -315,13 +315,13 @@
 		}
 		return nil
 	})
-	next := &shared{handover: second, loop: l, life: new(lifecycle), clients: newClients(ln, 100), up: l.up,
-		clientSockets: 100, serverSockets: 150, ownSockets: 30}
+	next := &sharedLimits{handover: second, loop: l, lifecycle: new(lifecycle), clients: newClients(ln, 100), upstream: l.upstream,
+		clientSockets: 100, serverSockets: 150, reservedSockets: 30}
 	now := time.Now()
 	hears := func(revision int64, phase policy.Availability) {
 		t.Helper()
 		left := snapshot{Saved: now, Revision: revision, Members: []discovery.Member{phased(t, "127.0.0.1:9", phase)}}
-		if err := first.write(left); err != nil {
+		if err := first.writeSnapshot(left); err != nil {
 			t.Fatal(err)
 		}
 		next.step(now)
@@ -335,7 +335,7 @@
 	if lists != 2 { // the loop has answered since
 		t.Errorf("the module was given %d lists, want the one at the start and the change", lists)
 	}
-	l.send(discovery.News{Kind: policy.ListUpdate, Members: []discovery.Member{phased(t, "127.0.0.1:9", policy.Running)}, Revision: 9})
+	l.send(discovery.Update{Kind: policy.ListUpdate, Members: []discovery.Member{phased(t, "127.0.0.1:9", policy.Running)}, Revision: 9})
 	hears(10, policy.Draining)
 	if phase() != policy.Running {
 		t.Error("the old process's word goes before discovery's")
--- a/internal/node/head.go
+++ b/internal/node/head.go
@@ -1,120 +1,120 @@
 package node
 
-// headWatch sees the bytes of a client's connection on their way to net/http, and tells apart what
-// net/http takes for one thing and a server might take for another: it drops a length that stands beside a
-// transfer coding, and takes a bare line feed for a line's end. It reads nothing else of a request, and lets
-// through no more than one head at a time, so that what it saw is of the request in hand. A body's length
-// is told to it; behind one that nobody knows the end of, it sees no more requests, and none must be read.
-type headWatch struct {
-	body       int64 // bytes of a body that are still to come; or one of the two below
-	coded      codedWatch
-	in         headViolations
-	violations headViolations // of the last head that went through whole
-	heads      int            // that did
-	begun      bool           // a line of the next one has come; net/http passes over empty lines ahead of a head
+// headScanner scans the bytes of a client's connection on their way to net/http for request heads that a server might
+// interpret differently: net/http drops a Content-Length beside a Transfer-Encoding, and accepts a bare line feed as the
+// end of a line. It parses nothing else of a request, and delivers at most one head at a time, so its findings belong to
+// the current request. It is told the length of each body. Behind a body whose end is unknown it recognizes no further
+// heads, and no further request may be served.
+type headScanner struct {
+	bodyLeft   int64 // bytes of the body still to come; or one of the constants below
+	chunked    chunkedScanner
+	current    headViolations
+	violations headViolations // of the last head that was delivered completely
+	headCount  int            // delivered completely
+	started    bool           // a line of the next head has arrived; net/http skips empty lines before a head
 
-	line  int // bytes of the line so far
-	cr    bool
-	field [len("transfer-encoding:")]byte // how the line begins, in small letters
+	lineLength int // bytes of the current line so far
+	lastCR     bool
+	linePrefix [len("transfer-encoding:")]byte // the beginning of the line, in lower case
 }
 
-// In place of a length, headWatch.body tells of a body whose end net/http alone can find.
+// Values of headScanner.bodyLeft for a body whose end only net/http can find.
 const (
-	unseen    = -1 // all goes on, and no more heads are seen
-	codedBody = -2 // net/http must have no bytes in hand from behind the body's end
+	untrackedBody = -1 // everything is delivered, and no more heads are recognized
+	chunkedBody   = -2 // net/http must not hold bytes from behind the body's end
 )
 
-// codedMost is how many bytes of one body with a transfer coding go on singly, which costs the processor something.
-const codedMost = 16 << 10
+// maxSingleBytes limits how many bytes of one chunked body are delivered singly, which costs processor time.
+const maxSingleBytes = 16 << 10
 
-// codedWatch sees a chunked body on its way to net/http. It knows nothing of chunks but that the last one's line begins
-// with a zero, and that behind such a line the end may be anywhere: from there bytes go on singly, and all others together.
-type codedWatch struct {
-	inLine bool // a line has begun, and not with a zero
-	zeros  bool // the line has nothing but zeros so far
-	last   bool // a line of zeros has ended: the body's end may come
-	singly int  // bytes that may still go on singly
+// chunkedScanner scans a chunked body on its way to net/http. It doesn't parse chunks. It relies only on the last chunk's
+// line beginning with a zero: behind such a line the body may end anywhere, so from there on bytes are delivered singly.
+type chunkedScanner struct {
+	inLine          bool // within a line that doesn't begin with a zero
+	zeroLine        bool // the line consists of zeros so far
+	lastChunk       bool // a line of zeros has ended: the body may end
+	singleBytesLeft int  // bytes that may still be delivered singly
 }
 
-// pass returns how many of the bytes may go on together.
-func (w *codedWatch) pass(p []byte) int {
+// scan returns how many of the bytes may be delivered together.
+func (w *chunkedScanner) scan(p []byte) int {
 	for i, c := range p {
 		switch {
-		case w.last:
+		case w.lastChunk:
 			return max(1, i)
 		case w.inLine:
 			w.inLine = c != '\n'
 		case c == '0':
-			w.zeros = true
+			w.zeroLine = true
 			if i > 0 {
-				w.zeros = false // it is looked at again
+				w.zeroLine = false // the zero is scanned again
 				return i
 			}
 			return 1
-		case w.zeros && (c == '\r' || c == '\n' || c == ';' || c == ' ' || c == '\t'):
-			w.last = true
+		case w.zeroLine && (c == '\r' || c == '\n' || c == ';' || c == ' ' || c == '\t'):
+			w.lastChunk = true
 			return 1
 		default:
-			w.zeros, w.inLine = false, c != '\n'
+			w.zeroLine, w.inLine = false, c != '\n'
 		}
 	}
 	return len(p)
 }
 
-// expect lets a body through next: of a length, or with a transfer coding where that is below 0.
-func (w *headWatch) expect(length int64) {
-	if w.body = length; length < 0 {
-		w.body, w.coded = codedBody, codedWatch{singly: codedMost}
+// expectBody prepares for a body of the given length, or for a chunked one if length is negative.
+func (w *headScanner) expectBody(length int64) {
+	if w.bodyLeft = length; length < 0 {
+		w.bodyLeft, w.chunked = chunkedBody, chunkedScanner{singleBytesLeft: maxSingleBytes}
 	}
 }
 
-// endCoded notes that net/http has found the end of a body: what comes next is a head.
-func (w *headWatch) endCoded() {
-	if w.body == codedBody {
-		w.body = 0
+// endChunkedBody records that net/http has found the end of a chunked body: a head comes next.
+func (w *headScanner) endChunkedBody() {
+	if w.bodyLeft == chunkedBody {
+		w.bodyLeft = 0
 	}
 }
 
 // headViolations are what makes a head ambiguous.
-type headViolations struct{ length, coding, bare bool }
+type headViolations struct{ contentLength, transferEncoding, bareLF bool }
 
-// problem names the flaw of a head, if it has one.
+// problem describes the violation for the client; empty if there is none.
 func (f headViolations) problem() string {
 	switch {
-	case f.bare:
+	case f.bareLF:
 		return "a line of the head ends without a carriage return"
-	case f.length && f.coding:
+	case f.contentLength && f.transferEncoding:
 		return "Content-Length beside Transfer-Encoding"
 	}
 	return ""
 }
 
-// pass returns how many of the bytes may go on now; those behind a head's or a body's end come again.
-func (w *headWatch) pass(p []byte) int {
+// scan returns how many of the bytes may be delivered now; those behind the end of a head or a body are passed again.
+func (w *headScanner) scan(p []byte) int {
 	switch {
-	case w.body == codedBody && w.coded.singly > 0 && len(p) > 0:
-		n := w.coded.pass(p)
+	case w.bodyLeft == chunkedBody && w.chunked.singleBytesLeft > 0 && len(p) > 0:
+		n := w.chunked.scan(p)
 		if n == 1 {
-			w.coded.singly--
+			w.chunked.singleBytesLeft--
 		}
 		return n
-	case w.body < 0:
-		w.body = unseen
+	case w.bodyLeft < 0:
+		w.bodyLeft = untrackedBody
 		return len(p)
-	case w.body > 0:
-		n := int(min(int64(len(p)), w.body))
-		w.body -= int64(n)
+	case w.bodyLeft > 0:
+		n := int(min(int64(len(p)), w.bodyLeft))
+		w.bodyLeft -= int64(n)
 		return n
 	}
 	for i, c := range p {
 		if c != '\n' {
-			if w.line < len(w.field) {
+			if w.lineLength < len(w.linePrefix) {
 				if 'A' <= c && c <= 'Z' {
 					c += 'a' - 'A'
 				}
-				w.field[w.line] = c
+				w.linePrefix[w.lineLength] = c
 			}
-			w.line, w.cr = w.line+1, c == '\r'
+			w.lineLength, w.lastCR = w.lineLength+1, c == '\r'
 			continue
 		}
 		if w.endLine() {
@@ -124,21 +124,21 @@
 	return len(p)
 }
 
-// endLine takes in a whole line, and reports whether it ends the head.
-func (w *headWatch) endLine() bool {
-	field := string(w.field[:min(w.line, len(w.field))])
-	w.in.bare = w.in.bare || !w.cr
-	w.in.length = w.in.length || begins(field, "content-length:")
-	w.in.coding = w.in.coding || begins(field, "transfer-encoding:")
-	empty := w.line == 0 || w.line == 1 && w.cr
-	w.line, w.cr = 0, false
-	if !empty || !w.begun {
-		w.begun = w.begun || !empty
+// endLine processes a complete line, and reports whether it ends the head.
+func (w *headScanner) endLine() bool {
+	field := string(w.linePrefix[:min(w.lineLength, len(w.linePrefix))])
+	w.current.bareLF = w.current.bareLF || !w.lastCR
+	w.current.contentLength = w.current.contentLength || hasPrefix(field, "content-length:")
+	w.current.transferEncoding = w.current.transferEncoding || hasPrefix(field, "transfer-encoding:")
+	empty := w.lineLength == 0 || w.lineLength == 1 && w.lastCR
+	w.lineLength, w.lastCR = 0, false
+	if !empty || !w.started {
+		w.started = w.started || !empty
 		return false
 	}
-	w.violations, w.in, w.begun = w.in, headViolations{}, false
-	w.heads++
+	w.violations, w.current, w.started = w.current, headViolations{}, false
+	w.headCount++
 	return true
 }
 
-func begins(s, with string) bool { return len(s) >= len(with) && s[:len(with)] == with }
+func hasPrefix(s, with string) bool { return len(s) >= len(with) && s[:len(with)] == with }
--- a/internal/node/head_test.go
+++ b/internal/node/head_test.go
@@ -20,11 +20,11 @@
 		"long":          "fa0\r\n" + plain + "\r\nfa0\r\n" + plain + "\r\n0\r\n\r\n",
 	} {
 		for size := 1; size <= len(body)+20; size += 1 + size/3 {
-			var w headWatch
-			w.expect(-1)
+			var w headScanner
+			w.expectBody(-1)
 			rest, single, passed := body+"GET / HTTP/1.1\r\n", 0, 0
 			for passed < len(body) {
-				n := w.pass([]byte(rest[:min(size, len(rest))]))
+				n := w.scan([]byte(rest[:min(size, len(rest))]))
 				if passed+n > len(body) {
 					t.Fatalf("%s in pieces of %d: %q goes on from behind the end", name, size, rest[:n])
 				}
@@ -33,7 +33,7 @@
 				}
 				passed, rest = passed+n, rest[n:]
 			}
-			if w.endCoded(); w.body != 0 {
+			if w.endChunkedBody(); w.bodyLeft != 0 {
 				t.Errorf("%s in pieces of %d: no heads are seen behind it", name, size)
 			}
 			if size > 100 && single > 100 {
--- a/internal/node/hollow_test.go
+++ b/internal/node/hollow_test.go
@@ -18,16 +18,16 @@
 		t.Fatal(err)
 	}
 	heard := make(chan int64, 10)
-	l.inForce = func(revision int64, _ time.Time) { heard <- revision }
+	l.onListApplied = func(revision int64, _ time.Time) { heard <- revision }
 	ctx, cancel := context.WithCancel(t.Context())
 	var parts sync.WaitGroup
 	defer parts.Wait()
 	defer cancel()
 	parts.Go(func() { l.run(ctx, c.Known) })
-	l.send(discovery.News{Kind: policy.ListUpdate, Revision: 8})
-	l.send(discovery.News{Kind: policy.ListUnavailable})
-	l.send(discovery.News{Kind: policy.ListUpdate, Revision: 9, Members: members(t, "127.0.0.1:10")})
-	l.send(discovery.News{Kind: policy.ListReplace, Revision: 10})
+	l.send(discovery.Update{Kind: policy.ListUpdate, Revision: 8})
+	l.send(discovery.Update{Kind: policy.ListUnavailable})
+	l.send(discovery.Update{Kind: policy.ListUpdate, Revision: 9, Members: members(t, "127.0.0.1:10")})
+	l.send(discovery.Update{Kind: policy.ListReplace, Revision: 10})
 	for _, want := range []int64{c.Known.Revision, 9, 10} {
 		if got := receive(t, "a list in force", heard); got != want {
 			t.Errorf("revision %d is in force, want %d", got, want)
--- a/internal/node/late_loop_test.go
+++ b/internal/node/late_loop_test.go
@@ -58,7 +58,7 @@
 	ended := make(chan struct{})
 	go func() { l.run(ctx, c.Known); close(ended) }()
 	t.Cleanup(func() { close(gate); cancel(); <-ended; up.close() })
-	<-l.ready
+	<-l.initialListApplied
 	n.serve(blocking, long)
 	synctest.Wait()
 	return n
@@ -127,7 +127,7 @@
 		synctest.Wait()
 		drained := discovery.Member{Addr: "127.0.0.1:9", Member: policy.Member{Server: "s0", Zone: "a", Kind: "k", Cell: 1,
 			Weight: 1, Availability: policy.Draining}}
-		n.loop.send(discovery.News{Kind: policy.ListUpdate, Revision: 8, Members: []discovery.Member{drained}})
+		n.loop.send(discovery.Update{Kind: policy.ListUpdate, Revision: 8, Members: []discovery.Member{drained}})
 		n.release()
 		synctest.Wait()
 		if got := n.dials.Load(); got != 0 {
@@ -143,18 +143,18 @@
 		n := newLateNode(t, func(policy.Time, policy.Event) []policy.Action { return nil })
 		answered := n.serve("open", long)
 		synctest.Wait()
-		n.finish()
+		n.endOpenRequests()
 		select {
 		case w := <-answered:
 			if w.Code != http.StatusServiceUnavailable {
 				t.Errorf("status %d of a request for which nothing was tried", w.Code)
 			}
-		case <-time.After(lastAnswers):
+		case <-time.After(finalAnswerTime):
 			t.Error("no answer by the time at which connections are cut")
 		}
 		select {
 		case <-n.serve("new", long):
-		case <-time.After(lastAnswers):
+		case <-time.After(finalAnswerTime):
 			t.Error("no answer for a request that came after that")
 		}
 	})
--- a/internal/node/lifecycle.go
+++ b/internal/node/lifecycle.go
@@ -8,16 +8,16 @@
 	"time"
 )
 
-// phase is where a node's process stands in its life.
+// phase is a phase in the life of a node's process.
 type phase int32
 
 // The phases, in the order in which most processes go through them.
 const (
-	starting phase = iota // the servers are not known yet
+	starting phase = iota // no servers are known yet
 	active
-	standby // clients are sent away, but the process runs on and may become active again
-	leaving // the process was told to end; who is here is still served as before
-	closing // nobody new is taken in, and answers end their connections
+	standby // clients are sent elsewhere, but the process keeps running and may become active again
+	leaving // the process was told to stop; clients that are here are still served as before
+	closing // no new connections are accepted, and answers close theirs
 )
 
 func (p phase) String() string {
@@ -25,150 +25,149 @@
 }
 
 const (
-	// noticeFor is how long a node in standby still serves as before: the front asks ten times a second
-	// and then takes 0.2 s to send nobody new.
-	noticeFor = 600 * time.Millisecond
-	// hangUpEvery is the time between two looks for connections to close while clients are sent away.
-	hangUpEvery = 100 * time.Millisecond
+	// standbyNotice is how long a node in standby still serves as before: the front checks ten times a second, and then
+	// takes 0.2 s to stop sending new clients.
+	standbyNotice = 600 * time.Millisecond
+	// closeIdleInterval is the interval at which idle connections are closed while clients are being drained.
+	closeIdleInterval = 100 * time.Millisecond
 )
 
-var errEnding = errors.New("this process is ending, and takes no clients again")
+var errStopping = errors.New("this process is ending, and takes no clients again")
 
-// lifecycle is the one owner of readiness, and of when the clients' connections are ended. SIGTERM and
-// the operators' standby go the same way: the node says that it isn't ready and serves as before while
-// the front takes notice; from then on answers end their connections, and those without a request are
-// closed.
+// lifecycle alone decides on readiness and on when client connections are closed. SIGTERM and the operators' standby
+// have the same effect: the node reports that it isn't ready, and serves as before until the front has noticed. From then
+// on responses close their connections, and connections without a request are closed.
 type lifecycle struct {
-	now    atomic.Int32 // the phase
-	hangUp atomic.Bool  // answers end their connections
-	// closeIdle closes client connections that are without a request.
+	current          atomic.Int32 // a phase
+	closeAfterAnswer atomic.Bool  // responses close their connections
+	// closeIdle closes client connections that have no request.
 	closeIdle func(time.Time)
-	// noteStandby is told when standby begins and ends; nil: nobody need know.
-	noteStandby func(on bool)
+	// recordStandby is called when standby begins and ends; may be nil.
+	recordStandby func(on bool)
 
-	mu     sync.Mutex
-	loaded bool // the servers are known
-	turn   int  // the last time that clients began to be sent away, or taken again; older timers do nothing
+	mu           sync.Mutex
+	serversKnown bool // the servers are known
+	generation   int  // incremented when draining begins or ends; timers of older generations do nothing
 }
 
-func (l *lifecycle) phase() phase { return phase(l.now.Load()) }
+func (l *lifecycle) phase() phase { return phase(l.current.Load()) }
 
-// ready tells whether the front may send clients.
+// ready reports whether the front may send clients.
 func (l *lifecycle) ready() bool { return l.phase() == active }
 
-// endsConnections tells whether an answer is to be its connection's last.
-func (l *lifecycle) endsConnections() bool { return l.hangUp.Load() }
+// closesAfterAnswer reports whether a response closes its connection.
+func (l *lifecycle) closesAfterAnswer() bool { return l.closeAfterAnswer.Load() }
 
-func (l *lifecycle) enter(p phase) {
-	if old := phase(l.now.Swap(int32(p))); old != p {
+func (l *lifecycle) setPhase(p phase) {
+	if old := phase(l.current.Swap(int32(p))); old != p {
 		slog.Info("phase", "now", p, "before", old)
 	}
 }
 
-// load notes that the servers are known, with which the start ends.
-func (l *lifecycle) load() {
+// markServersKnown records that the servers are known, which ends the starting phase.
+func (l *lifecycle) markServersKnown() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.loaded = true
+	l.serversKnown = true
 	if l.phase() == starting {
-		l.enter(active)
+		l.setPhase(active)
 	}
 }
 
-// standBy sends clients away. It may be said again, and a process that ends does so anyway.
-func (l *lifecycle) standBy() {
+// enterStandby begins to drain clients. It has no effect in standby, or if the process is stopping.
+func (l *lifecycle) enterStandby() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.phase() < standby {
-		l.enter(standby)
-		l.note(true)
-		l.sendAway(noticeFor)
+		l.setPhase(standby)
+		l.notifyStandby(true)
+		l.drainClients(standbyNotice)
 	}
 }
 
-// follow has noteStandby told from now on, and at once of a standby that began before.
-func (l *lifecycle) follow(noteStandby func(on bool)) {
+// setStandbyRecorder sets recordStandby, and calls it at once if the node is in standby already.
+func (l *lifecycle) setStandbyRecorder(recordStandby func(on bool)) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.noteStandby = noteStandby
+	l.recordStandby = recordStandby
 	if l.phase() == standby {
-		l.note(true)
+		l.notifyStandby(true)
 	}
 }
 
-func (l *lifecycle) note(on bool) {
-	if l.noteStandby != nil {
-		l.noteStandby(on)
+func (l *lifecycle) notifyStandby(on bool) {
+	if l.recordStandby != nil {
+		l.recordStandby(on)
 	}
 }
 
-// activate takes clients again.
+// activate ends standby.
 func (l *lifecycle) activate() error {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	switch {
 	case l.phase() > standby:
-		return errEnding
+		return errStopping
 	case l.phase() < standby:
 		return nil
 	}
-	l.turn++
-	l.hangUp.Store(false)
-	l.note(false)
-	if l.loaded {
-		l.enter(active)
+	l.generation++
+	l.closeAfterAnswer.Store(false)
+	l.notifyStandby(false)
+	if l.serversKnown {
+		l.setPhase(active)
 	} else {
-		l.enter(starting)
+		l.setPhase(starting)
 	}
 	return nil
 }
 
-// leave begins the end: clients are served as before for the given time, unless they were being sent
-// away already.
-func (l *lifecycle) leave(notice time.Duration) {
+// beginLeaving begins the shutdown. Clients are served as before for the given time, unless they are being drained
+// already.
+func (l *lifecycle) beginLeaving(notice time.Duration) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	was := l.phase()
-	l.enter(leaving)
-	if was != standby {
-		l.sendAway(notice)
+	previous := l.phase()
+	l.setPhase(leaving)
+	if previous != standby {
+		l.drainClients(notice)
 	}
 }
 
-// close is the end's second part: from here on nobody new is taken in.
-func (l *lifecycle) close() {
+// beginClosing begins the second part of the shutdown, in which no new clients are accepted.
+func (l *lifecycle) beginClosing() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.enter(closing)
-	l.sendAway(0)
+	l.setPhase(closing)
+	l.drainClients(0)
 }
 
-// sendAway ends the clients' connections after a while, and goes on doing so until a newer turn.
-func (l *lifecycle) sendAway(after time.Duration) {
-	l.turn++
-	turn := l.turn
+// drainClients begins to close client connections after the given time, and continues until the generation changes.
+func (l *lifecycle) drainClients(after time.Duration) {
+	l.generation++
+	generation := l.generation
 	if after <= 0 {
-		l.hangUp.Store(true)
+		l.closeAfterAnswer.Store(true)
 	}
-	time.AfterFunc(after, func() { l.sweep(turn) })
+	time.AfterFunc(after, func() { l.closeIdleLoop(generation) })
 }
 
-func (l *lifecycle) sweep(turn int) {
+func (l *lifecycle) closeIdleLoop(generation int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if turn != l.turn {
+	if generation != l.generation {
 		return
 	}
-	l.hangUp.Store(true)
+	l.closeAfterAnswer.Store(true)
 	if l.closeIdle != nil {
 		l.closeIdle(time.Now())
 	}
-	time.AfterFunc(hangUpEvery, func() { l.sweep(turn) })
+	time.AfterFunc(closeIdleInterval, func() { l.closeIdleLoop(generation) })
 }
 
-// end stops the sweeps.
-func (l *lifecycle) end() {
+// stopDraining stops closing client connections.
+func (l *lifecycle) stopDraining() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.turn++
+	l.generation++
 }
--- a/internal/node/lifecycle_test.go
+++ b/internal/node/lifecycle_test.go
@@ -15,9 +15,9 @@
 // want checks a lifecycle at one moment.
 func (l *lifecycle) want(t *testing.T, when string, p phase, ready, ends bool) {
 	t.Helper()
-	if l.phase() != p || l.ready() != ready || l.endsConnections() != ends {
+	if l.phase() != p || l.ready() != ready || l.closesAfterAnswer() != ends {
 		t.Errorf("%s: %v, ready %v, ends connections %v; want %v, %v, %v", when, l.phase(), l.ready(),
-			l.endsConnections(), p, ready, ends)
+			l.closesAfterAnswer(), p, ready, ends)
 	}
 }
 
@@ -27,20 +27,20 @@
 	synctest.Test(t, func(t *testing.T) {
 		closed := 0
 		l := lifecycle{closeIdle: func(time.Time) { closed++ }}
-		defer l.end()
+		defer l.stopDraining()
 		l.want(t, "at the start", starting, false, false)
-		l.load()
+		l.markServersKnown()
 		l.want(t, "with the servers known", active, true, false)
-		l.standBy()
+		l.enterStandby()
 		l.want(t, "at once", standby, false, false)
-		time.Sleep(noticeFor - time.Millisecond)
+		time.Sleep(standbyNotice - time.Millisecond)
 		synctest.Wait()
 		l.want(t, "while the front takes notice", standby, false, false)
-		l.standBy() // said again, it starts nothing anew
+		l.enterStandby() // said again, it starts nothing anew
 		time.Sleep(2 * time.Millisecond)
 		synctest.Wait()
 		l.want(t, "after that", standby, false, true)
-		time.Sleep(10 * hangUpEvery)
+		time.Sleep(10 * closeIdleInterval)
 		synctest.Wait()
 		if closed < 10 {
 			t.Errorf("looked for quiet connections %d times in a second", closed)
@@ -50,7 +50,7 @@
 		}
 		l.want(t, "taken back", active, true, false)
 		before := closed
-		time.Sleep(10 * noticeFor)
+		time.Sleep(10 * standbyNotice)
 		synctest.Wait()
 		l.want(t, "long after", active, true, false)
 		if closed != before {
@@ -63,20 +63,20 @@
 func TestStandbyTakenBackEarly(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var l lifecycle
-		defer l.end()
-		l.load()
-		l.standBy()
-		time.Sleep(noticeFor / 2)
+		defer l.stopDraining()
+		l.markServersKnown()
+		l.enterStandby()
+		time.Sleep(standbyNotice / 2)
 		for range 2 { // it may be said twice
 			if err := l.activate(); err != nil {
 				t.Error(err)
 			}
 		}
-		l.standBy()
-		time.Sleep(3 * noticeFor / 4) // the first one's time is up
+		l.enterStandby()
+		time.Sleep(3 * standbyNotice / 4) // the first one's time is up
 		synctest.Wait()
 		l.want(t, "in the second drain's notice", standby, false, false)
-		time.Sleep(noticeFor)
+		time.Sleep(standbyNotice)
 		synctest.Wait()
 		l.want(t, "after it", standby, false, true)
 	})
@@ -85,10 +85,10 @@
 func TestEndGoesBeforeWhatOperatorsSay(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var l lifecycle
-		defer l.end()
-		l.load()
-		l.leave(time.Second)
-		l.standBy()
+		defer l.stopDraining()
+		l.markServersKnown()
+		l.beginLeaving(time.Second)
+		l.enterStandby()
 		l.want(t, "told to stand by", leaving, false, false)
 		if l.activate() == nil {
 			t.Error("a process that ends takes no clients again")
@@ -96,7 +96,7 @@
 		time.Sleep(1100 * time.Millisecond)
 		synctest.Wait()
 		l.want(t, "after its notice", leaving, false, true)
-		l.close()
+		l.beginClosing()
 		l.want(t, "last", closing, false, true)
 	})
 }
@@ -105,14 +105,14 @@
 func TestStandbyDuringTheStart(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var l lifecycle
-		defer l.end()
-		l.standBy()
+		defer l.stopDraining()
+		l.enterStandby()
 		if err := l.activate(); err != nil {
 			t.Error(err)
 		}
 		l.want(t, "taken back", starting, false, false)
-		l.standBy()
-		l.load()
+		l.enterStandby()
+		l.markServersKnown()
 		l.want(t, "with the servers known", standby, false, false)
 		if err := l.activate(); err != nil {
 			t.Error(err)
@@ -217,20 +217,20 @@
 		t.Fatal(err)
 	}
 	await(t, "the bytes", func() bool { return !isIdle(ours[0].(*clientConn).TCPConn) })
-	l.closeIdle(ours[0].(*clientConn).since.Add(closeIdleAfter - 1)) // too early for both
-	if l.left() != 2 {
-		t.Errorf("%d connections left, want both", l.left())
+	l.closeIdle(ours[0].(*clientConn).lastActive.Add(closeIdleAfter - 1)) // too early for both
+	if l.openCount() != 2 {
+		t.Errorf("%d connections left, want both", l.openCount())
 	}
 	l.closeIdle(time.Now().Add(2 * closeIdleAfter))
-	if l.left() != 1 {
-		t.Errorf("%d connections left, want the one with a request", l.left())
+	if l.openCount() != 1 {
+		t.Errorf("%d connections left, want the one with a request", l.openCount())
 	}
 	got := make([]byte, 8)
 	if n, err := ours[0].Read(got); string(got[:n]) != "GET" || err != nil {
 		t.Errorf("read %q, %v", got[:n], err)
 	}
 	l.closeIdle(time.Now().Add(2 * closeIdleAfter)) // half a head is a request too
-	if l.left() != 1 {
+	if l.openCount() != 1 {
 		t.Error("a connection was closed under a request")
 	}
 }
--- a/internal/node/list.go
+++ b/internal/node/list.go
@@ -9,51 +9,53 @@
 	"cobaltward/policy"
 )
 
-func (l *loop) listed(ctx context.Context, heard heardNews) {
-	n := heard.News
+// handleList applies discovery news to the connection pools and the member list, and tells the decision module.
+func (l *loop) handleList(ctx context.Context, heard receivedUpdate) {
+	n := heard.Update
 	if n.Kind != policy.ListUnavailable {
-		l.up.follow(heard)
-		l.noteLeaving(n, l.keep(n))
-		l.noteServers()
+		l.upstream.applyList(heard)
+		l.logLeavingServers(n, l.updateMembers(n))
+		l.signalServerKnown()
 	}
 	members := make([]policy.Member, len(n.Members))
 	for i, m := range n.Members {
 		members[i] = m.Member
 		if m.Availability != policy.Removed {
-			members[i].OnlineSince = l.starts.of(m.Server, m.UpSince)
+			members[i].OnlineSince = l.starts.startTime(m.Server, m.UpSince)
 		}
 	}
-	began := l.clock.now()
-	l.tell(ctx, policy.MemberList{Kind: n.Kind, Members: members})
-	l.noteInForce(n, began)
-	if !heard.heard.IsZero() && n.Kind != policy.ListUnavailable {
-		l.metrics.listDelay.Observe(time.Since(heard.heard).Seconds())
+	start := l.clock.now()
+	l.notifyModule(ctx, policy.MemberList{Kind: n.Kind, Members: members})
+	l.reportListApplied(n, start)
+	if !heard.receivedAt.IsZero() && n.Kind != policy.ListUnavailable {
+		l.metrics.listDelay.Observe(time.Since(heard.receivedAt).Seconds())
 	}
 }
 
-// noteInForce tells that requests go by a list from now on, and how long the module took to take it in.
-func (l *loop) noteInForce(n discovery.News, began policy.Time) {
+// reportListApplied reports that a list has taken effect, and logs how long the decision module took to apply it.
+func (l *loop) reportListApplied(n discovery.Update, start policy.Time) {
 	if n.Kind == policy.ListUnavailable || n.Kind == policy.ListUpdate && len(n.Members) == 0 {
 		return
 	}
-	if now := l.clock.now(); l.trace.mayWrite(now, "list") {
+	if now := l.clock.now(); l.requestLog.mayWrite(now, "list") {
 		slog.Info("list: in force", "revision", n.Revision, "entries", len(n.Members),
-			"whole", n.Kind != policy.ListUpdate, "took", now-began)
+			"whole", n.Kind != policy.ListUpdate, "took", now-start)
 	}
-	if l.inForce != nil {
-		l.inForce(n.Revision, time.Now())
+	if l.onListApplied != nil {
+		l.onListApplied(n.Revision, time.Now())
 	}
 }
 
-// keep holds the list together for a successor, and returns the servers that were up and leave.
-func (l *loop) keep(n discovery.News) (leaving []discovery.Member) {
+// updateMembers merges the news into the member list, which a successor process takes over, and returns the servers that
+// were running and now leave.
+func (l *loop) updateMembers(n discovery.Update) (leaving []discovery.Member) {
 	old := l.members
 	if n.Kind != policy.ListUpdate {
 		l.members = make(map[string]discovery.Member, len(n.Members))
 	}
-	l.listedAt = n.Revision
+	l.listRevision = n.Revision
 	for _, m := range n.Members {
-		if was, ok := old[m.Server]; ok && was.Availability == policy.Running && m.Availability != policy.Running {
+		if previous, ok := old[m.Server]; ok && previous.Availability == policy.Running && m.Availability != policy.Running {
 			leaving = append(leaving, m)
 		}
 		if l.members[m.Server] = m; m.Availability == policy.Removed {
@@ -81,31 +83,31 @@
 	return leaving
 }
 
-// noteServers says once that there is a server to send to.
-func (l *loop) noteServers() {
+// signalServerKnown closes serverKnown as soon as a running server is listed.
+func (l *loop) signalServerKnown() {
 	select {
-	case <-l.serves:
+	case <-l.serverKnown:
 		return
 	default:
 	}
 	for _, m := range l.members {
 		if m.Availability == policy.Running {
-			close(l.serves)
+			close(l.serverKnown)
 			return
 		}
 	}
 }
 
-// noteLeaving tells the log of each server that leaves, and of the last request that went there.
-func (l *loop) noteLeaving(n discovery.News, leaving []discovery.Member) {
-	if len(leaving) > 0 && !n.Asked.IsZero() {
+// logLeavingServers logs each server that leaves and the last request that was sent to it.
+func (l *loop) logLeavingServers(n discovery.Update, leaving []discovery.Member) {
+	if len(leaving) > 0 && !n.Requested.IsZero() {
 		slog.Info("list: servers leave", "servers", len(leaving), "revision", n.Revision,
-			"asked_ago", time.Since(n.Asked), "heard_ago", time.Since(n.Heard))
+			"asked_ago", time.Since(n.Requested), "heard_ago", time.Since(n.Received))
 	}
 	for _, m := range leaving {
 		last, now := l.lastSent[m.Server], l.clock.now()
 		delete(l.lastSent, m.Server)
-		if last.id != "" && l.trace.mayWrite(now, "leaving") {
+		if last.id != "" && l.requestLog.mayWrite(now, "leaving") {
 			slog.Info("list: a server leaves", "server", m.Server, "draining", m.Availability == policy.Draining,
 				"last_request", last.id, "last_sent_ago", now-last.at)
 		}
--- a/internal/node/loop.go
+++ b/internal/node/loop.go
@@ -19,100 +19,101 @@
 )
 
 const (
-	// timeOrigin is what the clock shows at the start. Servers that started before the node did have
-	// a time above 0 all the same: 0 means long ago, and would count a cold server as warm.
+	// timeOrigin is the reading of the policy clock at the start of the process. It is well above 0, so that servers that
+	// started before the node still have a positive start time: 0 means long ago, and would count a cold server as warm.
 	timeOrigin = 24 * time.Hour
-	// answerMargin is how long before the client stops waiting the module's time is up, so that its
-	// answer still arrives; half of it later the backstop answers. Of short deadlines it is a part.
-	answerMargin     = 20 * time.Millisecond
-	answerMarginPart = 5
-	longestUpload    = maxBody/slowestBody*time.Second + time.Minute
-	sweepEvery       = time.Second // idle connections to servers
-	ownRetryAfter    = time.Second // told to clients that the node refuses without the module
-	idsFor           = 10 * time.Second
-	maxIDs           = 1 << 15
-	// lateAfter is how long the loop may leave an event waiting, or take for one, without a line in the log.
-	lateAfter = 100 * time.Millisecond
+	// answerMargin is how long before the client's deadline the decision module's deadline is, so that the response still
+	// arrives in time. The deadline timer responds half of it later. Short deadlines use 1/answerMarginDivisor of the
+	// client's wait instead.
+	answerMargin        = 20 * time.Millisecond
+	answerMarginDivisor = 5
+	maxUploadTime       = maxBodySize/minBodyRate*time.Second + time.Minute
+	sweepInterval       = time.Second // for expired connections and wall-clock steps
+	nodeRetryAfter      = time.Second // Retry-After of requests that the node refuses without the decision module
+	idRetention         = 10 * time.Second
+	maxRetainedIDs      = 1 << 15
+	// slowEventThreshold is how long an event may wait for the loop, or take to handle, before the loop logs a warning.
+	slowEventThreshold = 100 * time.Millisecond
 )
 
-// module is the policy.Balancer.
-type module interface {
+// decisionModule is implemented by policy.Balancer; tests replace it.
+type decisionModule interface {
 	Handle(now policy.Time, ev policy.Event) []policy.Action
 }
 
-// loop owns the module, the open requests and the timers, in one goroutine. All else sends it events;
-// it waits for nothing but the next of them.
+// loop is the event loop. One goroutine owns the decision module, the open requests and the timers; all other goroutines
+// send it events. It blocks on nothing but the next event.
 type loop struct {
-	clock   clock
-	module  module
-	allowed policy.Allowed
-	classes map[string]policy.Class
-	maxOpen int
-	up      *upstream
-	monitor *invariant.Monitor
-	metrics *metrics
-	clients *clients // nil: there are none
-	disc    *discovery.Client
-	inForce func(revision int64, at time.Time) // hears of each list that requests go by; nil: nobody does
+	clock         clock
+	module        decisionModule
+	allowed       policy.Allowed
+	classes       map[string]policy.Class
+	maxOpen       int
+	upstream      *upstream
+	monitor       *invariant.Monitor
+	metrics       *metrics
+	clients       *clientListener // nil on a hollow node
+	discovery     *discovery.Client
+	onListApplied func(revision int64, at time.Time) // called for each list that takes effect; may be nil
 
-	events   *eventQueue
-	shedder  *shedder
-	done     chan struct{} // closed when the loop has ended
-	ready    chan struct{} // closed when the known list is in
-	serves   chan struct{} // closed when a server is known
-	requests map[string]*request
-	members  map[string]discovery.Member // the list as it stands
-	listedAt int64                       // its revision
-	starts   *serverStarts
-	heard    atomic.Bool        // by discovery, since the start
-	sequence atomic.Uint64      // of news, in the order in which it was heard
-	lastSent map[string]sending // to each server listed; for the log
-	used     ids
-	owed     int // requests without their answer
-	stopping bool
-	timers   timers
-	trace    trace
-	skipped  []policy.Outcome // of attempts that were not made; told once all actions are done
-	attempts sync.WaitGroup
+	events             *eventQueue
+	shedder            *shedder
+	done               chan struct{} // closed when the loop has ended
+	initialListApplied chan struct{} // closed when the list known at the start has been applied
+	serverKnown        chan struct{} // closed when a running server is known
+	requests           map[string]*request
+	members            map[string]discovery.Member // the current list, by server id
+	listRevision       int64                       // revision of members
+	starts             *serverStarts
+	listReceived       atomic.Bool            // discovery has delivered a list since the start
+	updateSequence     atomic.Uint64          // of discovery news, in the order of receipt
+	lastSent           map[string]sentRequest // the last attempt at each server, for the log
+	recentIDs          recentIDs
+	unanswered         int // requests without a response so far
+	stopping           bool
+	timers             timerHeap
+	requestLog         requestLog
+	skippedOutcomes    []policy.Outcome // of skipped attempts; reported to the module once all its actions are executed
+	runningAttempts    sync.WaitGroup
 }
 
-// request is kept until it is answered and all its attempts are over.
+// request is an open client request. It is kept until it has its response and all its attempts have ended.
 type request struct {
 	*clientRequest
-	deadline policy.Time
-	backstop *timer
-	ended    bool
-	attempts []attempt
-	pending  int
+	deadline        policy.Time
+	deadlineTimer   *timer
+	ended           bool
+	attempts        []attempt
+	pendingAttempts int
 }
 
-// sending is the last attempt that went to a server.
-type sending struct {
+// sentRequest records the last attempt that was sent to a server.
+type sentRequest struct {
 	id string
 	at policy.Time
 }
 
-// The events of the loop, beside news.
+// The events of the loop, in addition to receivedUpdate.
 type (
-	arrival   struct{ x *clientRequest }
-	departure struct { // its handler has ended the request: the client has left, or its time was up
-		x *clientRequest
+	arrival   struct{ request *clientRequest }
+	departure struct { // the handler has ended the request: the client left or the deadline passed
+		request *clientRequest
 	}
-	uploaded struct { // the last byte of a large body was sent on
-		r    *request
-		took time.Duration
+	uploadEnd struct { // the last byte of a large body was forwarded to the server
+		request *request
+		took    time.Duration
 	}
-	ending struct { // of an attempt
-		r *request
-		n int
-		result
+	attemptEnd struct { // an attempt has ended
+		request *request
+		index   int
+		attemptResult
 	}
-	processes       int      // that this node has
-	finish          struct{} // fail what is still open, for the node stops
-	snapshotRequest struct { // asks what a successor should know
+	processCount    int      // number of processes of this node
+	finish          struct{} // the node stops: end all open requests
+	snapshotRequest struct { // asks for the state that a successor process takes over
 		reply chan snapshot
 	}
-	restoredSnapshot struct{ discovery.List } // as the process before has it by now
+	predecessorList struct{ discovery.List } // the list as the previous process has it now
 )
 
 func newLoop(c Config, ck clock, up *upstream) (*loop, error) {
@@ -120,174 +121,176 @@
 	if err != nil {
 		return nil, err
 	}
-	l := &loop{clock: ck, module: balancer, allowed: c.Settings.Allowed, maxOpen: c.MaxOpen, up: up, monitor: up.monitor, metrics: newMetrics(),
-		events: newEventQueue(), shedder: newShedder(), done: make(chan struct{}), ready: make(chan struct{}), serves: make(chan struct{}),
-		classes: make(map[string]policy.Class), requests: make(map[string]*request), lastSent: make(map[string]sending), starts: newServerStarts(ck), used: ids{seed: maphash.MakeSeed()}}
+	l := &loop{clock: ck, module: balancer, allowed: c.Settings.Allowed, maxOpen: c.MaxOpen, upstream: up, monitor: up.monitor, metrics: newMetrics(),
+		events: newEventQueue(), shedder: newShedder(), done: make(chan struct{}), initialListApplied: make(chan struct{}), serverKnown: make(chan struct{}),
+		classes: make(map[string]policy.Class), requests: make(map[string]*request), lastSent: make(map[string]sentRequest), starts: newServerStarts(ck), recentIDs: recentIDs{seed: maphash.MakeSeed()}}
 	for _, class := range c.Settings.Classes {
 		l.classes[class.Name] = class
 	}
-	l.trace.metrics = l.metrics
-	l.disc = discovery.New(c.following(), func(n discovery.News) { l.send(n) })
+	l.requestLog.metrics = l.metrics
+	l.discovery = discovery.New(c.discoveryConfig(), func(news discovery.Update) { l.send(news) })
 	return l, nil
 }
 
-// send hands the loop an event, and never waits for it. What discovery has told binds attempts from here on: the loop may be
-// late, and an attempt under way.
+// send queues an event for the loop and never blocks. News of servers that leave applies to attempts at once, before the
+// loop handles it: the loop may be late, and attempts may be in progress.
 func (l *loop) send(ev any) {
-	if n, ok := ev.(discovery.News); ok {
-		heard := heardNews{News: n, sequence: l.sequence.Add(1), heard: time.Now()}
+	if n, ok := ev.(discovery.Update); ok {
+		news := receivedUpdate{Update: n, sequence: l.updateSequence.Add(1), receivedAt: time.Now()}
 		if n.Kind == policy.ListReplace || n.Kind == policy.ListUpdate {
-			l.heard.Store(true)
-			l.up.stopLeaving(heard)
+			l.listReceived.Store(true)
+			l.upstream.stopLeavingServers(news)
 		}
-		ev = heard
+		ev = news
 	}
 	l.events.push(ev)
 }
 
-// run handles events until ctx ends; then it calls off what is out and waits for it. The list as last
-// held comes before all else, as the module expects.
+// run handles events until ctx ends; then it cancels the attempts in progress and waits for them. The list known at the
+// start is handled before any other event, as the decision module expects.
 func (l *loop) run(ctx context.Context, known discovery.List) {
 	attemptsCtx, cancel := context.WithCancel(context.Background())
-	defer l.attempts.Wait()
+	defer l.runningAttempts.Wait()
 	defer cancel()
 	defer close(l.done)
-	l.handle(attemptsCtx, heardNews{News: discovery.News{Kind: policy.ListRestored, Members: known.Members, Revision: known.Revision}})
-	close(l.ready)
-	busy := make(chan struct{})
-	close(busy)
-	sweep := time.NewTicker(sweepEvery)
+	l.handleEvent(attemptsCtx, receivedUpdate{Update: discovery.Update{Kind: policy.ListRestored, Members: known.Members, Revision: known.Revision}})
+	close(l.initialListApplied)
+	closed := make(chan struct{})
+	close(closed)
+	sweep := time.NewTicker(sweepInterval)
 	defer sweep.Stop()
 	wake := time.NewTimer(0)
 	defer wake.Stop()
-	summary := time.NewTicker(summaryEvery)
+	summary := time.NewTicker(summaryInterval)
 	defer summary.Stop()
 	for {
-		var more <-chan struct{} // ready where the loop has not come to rest
-		if ev, ok := l.events.take(); ok {
-			l.takeUp(attemptsCtx, ev)
-			more = busy
+		var pending <-chan struct{} // closed, so that the loop doesn't block, while events may be queued
+		if ev, ok := l.events.pop(); ok {
+			l.dispatch(attemptsCtx, ev)
+			pending = closed
 		} else if len(l.timers) > 0 {
 			wake.Reset(l.timers[0].due - l.clock.now())
 		} else {
 			wake.Stop()
 		}
 		select {
-		case <-more:
+		case <-pending:
 		case <-l.events.wake:
 		case <-wake.C:
 		case now := <-sweep.C:
 			l.sweep(now)
 		case <-summary.C:
-			l.summarize()
+			l.logSummary()
 		case <-ctx.Done():
 			return
 		}
-		l.fire(attemptsCtx)
+		l.fireTimers(attemptsCtx)
 	}
 }
 
-// sweep sees to what is looked at once a second.
+// sweep does the periodic work: it looks for wall-clock steps and closes expired connections.
 func (l *loop) sweep(now time.Time) {
-	l.starts.read()
-	l.up.sweep(now)
+	l.starts.checkWallClock()
+	l.upstream.sweep(now)
 	if l.clients != nil {
 		l.clients.closeExpired(now)
 	}
 }
 
-func (l *loop) summarize() {
+// logSummary writes the periodic summary to the log.
+func (l *loop) logSummary() {
 	open, evicted := 0, 0
 	if l.clients != nil {
-		open, evicted = l.clients.counts()
+		open, evicted = l.clients.takeCounts()
 	}
-	l.trace.shedAtArrival = l.shedder.atArrival.Swap(0)
-	l.trace.summary(l.owed, open, evicted, l.events.length(), fmt.Sprint(l.module), l.monitor)
+	l.requestLog.shedAtArrival = l.shedder.refusedAtArrival.Swap(0)
+	l.requestLog.writeSummary(l.unanswered, open, evicted, l.events.length(), fmt.Sprint(l.module), l.monitor)
 }
 
-// takeUp handles an event of the queue, or turns it away for having waited too long in it.
-func (l *loop) takeUp(ctx context.Context, ev queuedEvent) {
+// dispatch handles a queued event, or sheds it if it is an arrival that waited too long in the queue.
+func (l *loop) dispatch(ctx context.Context, ev queuedEvent) {
 	began := time.Now()
-	waited := began.Sub(ev.since)
+	waited := began.Sub(ev.queuedAt)
 	kind := kindOf(ev.event)
-	if a, ok := ev.event.(arrival); ok && l.shedder.took(began, waited) {
+	if a, ok := ev.event.(arrival); ok && l.shedder.observe(began, waited) {
 		kind = "shed arrival"
-		l.shed(a.x)
+		l.shed(a.request)
 	} else {
-		l.handle(ctx, ev.event)
+		l.handleEvent(ctx, ev.event)
 	}
-	l.noteWork(kind, waited, time.Since(began))
+	l.recordEvent(kind, waited, time.Since(began))
 }
 
-// noteWork counts an event, and logs one that waited or took too long.
-func (l *loop) noteWork(kind string, waited, took time.Duration) {
+// recordEvent updates the metrics for an event and logs one that waited or took too long.
+func (l *loop) recordEvent(kind string, waited, took time.Duration) {
 	if m, ok := l.module.(*policy.Balancer); ok {
-		l.metrics.held.Set(float64(m.Waiting()))
+		l.metrics.requestsHeld.Set(float64(m.Waiting()))
 	}
 	l.metrics.loopLag.Observe(waited.Seconds())
 	l.metrics.loopWork.WithLabelValues(kind).Observe(took.Seconds())
-	l.trace.late(waited, took)
-	if max(waited, took) > lateAfter && l.trace.mayWriteOnce(l.clock.now(), "late") {
-		slog.Warn("loop: late", "event", kind, "waited", waited, "took", took, "queue", l.events.length(), "open", l.owed)
+	l.requestLog.recordLag(waited, took)
+	if max(waited, took) > slowEventThreshold && l.requestLog.mayWriteOnce(l.clock.now(), "late") {
+		slog.Warn("loop: late", "event", kind, "waited", waited, "took", took, "queue", l.events.length(), "open", l.unanswered)
 	}
 }
 
-// shed turns a request away that the module has not seen.
+// shed refuses a request that the decision module has not been told of.
 func (l *loop) shed(x *clientRequest) {
-	if x.answerUnseen(ownRefusal()) {
-		l.trace.shed(shedForLag)
+	if x.answerDirectly(nodeRefusal()) {
+		l.requestLog.recordShed(reasonLoopLag)
 	}
 }
 
-// fire handles the timers that are due.
-func (l *loop) fire(ctx context.Context) {
+// fireTimers handles the timers that are due.
+func (l *loop) fireTimers(ctx context.Context) {
 	for now := l.clock.now(); len(l.timers) > 0 && l.timers[0].due <= now; {
 		t := heap.Pop(&l.timers).(*timer)
-		if r := t.backstop; r == nil {
+		if r := t.deadlineOf; r == nil {
 			began := time.Now()
-			l.tell(ctx, policy.Timer{Token: t.token})
-			l.noteWork(kindOf(timerDue{}), now-t.due, time.Since(began))
+			l.notifyModule(ctx, policy.Timer{Token: t.token})
+			l.recordEvent(kindOf(timerDue{}), now-t.due, time.Since(began))
 		} else {
-			l.fail(ctx, r, http.StatusGatewayTimeout, "backstop") // the module has said nothing
+			l.fail(ctx, r, http.StatusGatewayTimeout, "backstop") // the decision module gave no result in time
 		}
 	}
 }
 
-func (l *loop) handle(ctx context.Context, ev any) {
+// handleEvent handles one event.
+func (l *loop) handleEvent(ctx context.Context, ev any) {
 	switch e := ev.(type) {
 	case arrival:
-		l.arrive(ctx, e.x)
+		l.handleArrival(ctx, e.request)
 	case departure:
-		e.x.leave()
-		e.x.claim(clientLeft)
-		// Another request may bear the id by now.
-		if r := l.requests[e.x.req.ID]; r != nil && r.clientRequest == e.x && !r.ended {
-			l.settle(r)
-			l.traceHandlersEnd(r)
-			l.tell(ctx, policy.Lapsed{ID: r.req.ID})
-			l.drop(r)
+		e.request.cancel()
+		e.request.claim(clientLeft)
+		// By now another request may have the same id.
+		if r := l.requests[e.request.req.ID]; r != nil && r.clientRequest == e.request && !r.ended {
+			l.markEnded(r)
+			l.traceHandlerEnd(r)
+			l.notifyModule(ctx, policy.ClientGone{ID: r.req.ID})
+			l.dropIfDone(r)
 		}
-	case uploaded:
-		if r := e.r; !r.ended { // the client's time counts from its last byte
+	case uploadEnd:
+		if r := e.request; !r.ended { // the client's wait counts from the last byte of its body
 			r.deadline += e.took
-			l.postpone(r, r.deadline+r.margin()/2)
+			l.postponeDeadlineTimer(r, r.deadline+r.margin()/2)
 		}
-	case ending:
-		l.end(ctx, e)
-	case heardNews:
-		l.listed(ctx, e)
-	case restoredSnapshot: // until discovery is heard, which knows better
-		if !l.heard.Load() && e.Revision != l.listedAt && len(e.Members) > 0 {
-			l.listed(ctx, heardNews{News: discovery.News{Kind: policy.ListReplace, Members: e.Members, Revision: e.Revision}})
+	case attemptEnd:
+		l.handleAttemptEnd(ctx, e)
+	case receivedUpdate:
+		l.handleList(ctx, e)
+	case predecessorList: // ignored once discovery has delivered a list, which is more recent
+		if !l.listReceived.Load() && e.Revision != l.listRevision && len(e.Members) > 0 {
+			l.handleList(ctx, receivedUpdate{Update: discovery.Update{Kind: policy.ListReplace, Members: e.Members, Revision: e.Revision}})
 		}
 	case snapshotRequest:
-		left := snapshot{Revision: l.listedAt, Members: slices.Collect(maps.Values(l.members))}
+		state := snapshot{Revision: l.listRevision, Members: slices.Collect(maps.Values(l.members))}
 		if m, ok := l.module.(*policy.Balancer); ok {
-			left.Policy = m.Snapshot(l.clock.now())
+			state.Policy = m.Snapshot(l.clock.now())
 		}
-		e.reply <- left
-	case processes:
-		l.tell(ctx, policy.Processes{N: int(e)})
+		e.reply <- state
+	case processCount:
+		l.notifyModule(ctx, policy.ProcessCount{N: int(e)})
 	case finish:
 		l.stopping = true
 		for _, r := range l.requests {
@@ -298,97 +301,102 @@
 	}
 }
 
-func (l *loop) arrive(ctx context.Context, x *clientRequest) {
-	if !x.currentState().open() { // its handler has answered, or its client has left
+// handleArrival registers a new request and passes it to the decision module, or refuses it.
+func (l *loop) handleArrival(ctx context.Context, x *clientRequest) {
+	if !x.currentState().isOpen() { // its handler has responded, or its client has left
 		return
 	}
-	// The module would wait for the first of an id and never answer this one; and what came under an
-	// id before may have run, also when it is over.
-	if l.requests[x.req.ID] != nil || !l.used.add(x.req.ID, l.clock.now()) {
-		x.answerUnseen(answer{status: http.StatusConflict})
+	// The decision module would treat a second request with an open id as the first and never respond to it. A
+	// recently completed request with this id may have run, so its id is not accepted again either.
+	if l.requests[x.req.ID] != nil || !l.recentIDs.add(x.req.ID, l.clock.now()) {
+		x.answerDirectly(answer{status: http.StatusConflict})
 		return
 	}
-	if l.stopping || l.maxOpen > 0 && l.owed >= l.maxOpen {
-		x.answerUnseen(ownRefusal())
+	if l.stopping || l.maxOpen > 0 && l.unanswered >= l.maxOpen {
+		x.answerDirectly(nodeRefusal())
 		return
 	}
 	r := &request{clientRequest: x}
-	r.deadline = x.came + x.clientWaits - r.margin()
+	r.deadline = x.arrivedAt + x.clientTimeout - r.margin()
 	l.requests[x.req.ID] = r
-	l.owed++
-	l.trace.arrived++
-	r.backstop = &timer{due: r.deadline + r.margin()/2, backstop: r}
-	if x.rest != nil {
-		r.backstop.due += longestUpload
+	l.unanswered++
+	l.requestLog.arrived++
+	r.deadlineTimer = &timer{due: r.deadline + r.margin()/2, deadlineOf: r}
+	if x.bodyRest != nil {
+		r.deadlineTimer.due += maxUploadTime
 	}
-	heap.Push(&l.timers, r.backstop)
+	heap.Push(&l.timers, r.deadlineTimer)
 	req := x.req
 	req.ExpiresIn = max(0, r.deadline-l.clock.now())
-	l.tell(ctx, req)
+	l.notifyModule(ctx, req)
 }
 
-// postpone moves a request's backstop.
-func (l *loop) postpone(r *request, due policy.Time) {
-	if r.backstop.at >= 0 {
-		r.backstop.due = due
-		heap.Fix(&l.timers, r.backstop.at)
+// postponeDeadlineTimer moves a request's deadline timer.
+func (l *loop) postponeDeadlineTimer(r *request, due policy.Time) {
+	if r.deadlineTimer.index >= 0 {
+		r.deadlineTimer.due = due
+		heap.Fix(&l.timers, r.deadlineTimer.index)
 	}
 }
 
-func (l *loop) end(ctx context.Context, e ending) {
-	a := &e.r.attempts[e.n]
-	if e.answer.more == nil { // else it ends with the last byte
+// handleAttemptEnd records an attempt's outcome, responds to the client if the attempt succeeded, and tells the decision
+// module.
+func (l *loop) handleAttemptEnd(ctx context.Context, e attemptEnd) {
+	a := &e.request.attempts[e.index]
+	if e.answer.stream == nil { // a streamed response ends with its last byte
 		a.cancel()
 	}
-	a.over, a.code = true, e.code
-	l.trace.attempt(l.clock.now(), e.r, e.n, e.result)
-	e.r.pending--
-	if e.code == policy.OK && !e.r.ended {
-		l.answer(e.r, e.result.answer, "")
+	a.ended, a.code = true, e.code
+	l.requestLog.recordAttempt(l.clock.now(), e.request, e.index, e.attemptResult)
+	e.request.pendingAttempts--
+	if e.code == policy.OK && !e.request.ended {
+		l.answer(e.request, e.attemptResult.answer, "")
 	} else {
-		e.result.answer.drop()
+		e.attemptResult.answer.discard()
 	}
-	l.tell(ctx, policy.Outcome{ID: e.r.req.ID, Server: a.server, Attempt: e.n, Code: e.code,
-		Latency: l.clock.now() - a.sent - e.upload, Ended: e.r.ended, Report: e.report})
-	l.drop(e.r)
+	l.notifyModule(ctx, policy.Outcome{ID: e.request.req.ID, Server: a.server, Attempt: e.index, Code: e.code,
+		Latency: l.clock.now() - a.sentAt - e.uploadTime, Ended: e.request.ended, Report: e.report})
+	l.dropIfDone(e.request)
 }
 
-// snapshot is what a successor should know of the servers and of the module's state.
+// snapshot returns the members and the decision module's state for a successor process.
 func (l *loop) snapshot() snapshot {
 	reply := make(chan snapshot, 1)
 	l.send(snapshotRequest{reply})
 	select {
-	case left := <-reply:
-		return left
+	case state := <-reply:
+		return state
 	case <-l.done:
 		return snapshot{}
 	}
 }
 
-// tell gives the module an event and carries out what it wants done, in order.
-func (l *loop) tell(ctx context.Context, ev policy.Event) {
+// notifyModule passes an event to the decision module and executes the returned actions in order. Outcomes of attempts
+// that were skipped on the way follow as further events.
+func (l *loop) notifyModule(ctx context.Context, ev policy.Event) {
 	for {
 		for _, a := range l.module.Handle(l.clock.now(), ev) {
-			l.carryOut(ctx, a)
+			l.executeAction(ctx, a)
 		}
-		if len(l.skipped) == 0 {
+		if len(l.skippedOutcomes) == 0 {
 			return
 		}
-		o := l.skipped[0]
-		l.skipped = l.skipped[1:]
-		if r := l.requests[o.ID]; r != nil {
-			r.pending--
-			o.Ended = r.ended
-			defer l.drop(r)
+		outcome := l.skippedOutcomes[0]
+		l.skippedOutcomes = l.skippedOutcomes[1:]
+		if r := l.requests[outcome.ID]; r != nil {
+			r.pendingAttempts--
+			outcome.Ended = r.ended
+			defer l.dropIfDone(r)
 		}
-		ev = o
+		ev = outcome
 	}
 }
 
-func (l *loop) carryOut(ctx context.Context, a policy.Action) {
+// executeAction executes one action of the decision module.
+func (l *loop) executeAction(ctx context.Context, a policy.Action) {
 	switch a.Kind {
 	case policy.Send:
-		l.attempt(ctx, a)
+		l.startAttempt(ctx, a)
 	case policy.Refuse:
 		if r := l.requests[a.ID]; r != nil {
 			l.refuse(r, a.Wait, a.Text)
@@ -396,7 +404,7 @@
 	case policy.Fail:
 		if r := l.requests[a.ID]; r != nil {
 			l.answer(r, answer{status: http.StatusBadGateway}, a.Text)
-			l.drop(r)
+			l.dropIfDone(r)
 		}
 	case policy.Cancel:
 		if r := l.requests[a.ID]; r != nil && a.Attempt < len(r.attempts) {
@@ -405,12 +413,12 @@
 	case policy.SetTimer:
 		heap.Push(&l.timers, &timer{due: l.clock.now() + a.Wait, token: a.Token})
 	case policy.CloseIdle:
-		l.up.closeIdle(a.Server)
+		l.upstream.closeIdle(a.Server)
 	case policy.WatchList:
-		l.disc.Ask(a.On)
+		l.discovery.RequestUpdates(a.On)
 	case policy.Log:
 		slog.Info(a.Text)
-	default: // probes and peer messages are not allowed here, and the module asks for none
-		slog.Error("the module wants what this node can't do", "action", a.Kind)
+	default: // probes and peer messages: the node doesn't allow them, and the module requests none
+		slog.Error("decision module requested an unsupported action", "action", a.Kind)
 	}
 }
--- a/internal/node/loop_test.go
+++ b/internal/node/loop_test.go
@@ -43,7 +43,7 @@
 			all = append(all, "request "+e.ID)
 		case policy.Outcome:
 			all = append(all, fmt.Sprintf("outcome %s %d code %d ended %v", e.ID, e.Attempt, e.Code, e.Ended))
-		case policy.Lapsed:
+		case policy.ClientGone:
 			all = append(all, "lapsed "+e.ID)
 		case policy.Timer:
 			all = append(all, fmt.Sprintf("timer %d", e.Token))
@@ -84,7 +84,7 @@
 
 func (l *loop) arriveNow(id string, waits time.Duration) *clientRequest {
 	x := testClientRequest(http.MethodGet, id, "")
-	x.came, x.clientWaits = l.clock.now(), waits
+	x.arrivedAt, x.clientTimeout = l.clock.now(), waits
 	l.send(arrival{x})
 	return x
 }
@@ -186,7 +186,7 @@
 	if a := receive(t, "the answer", x.reply); a.status != http.StatusGatewayTimeout {
 		t.Errorf("status %d", a.status)
 	}
-	if end := x.came + x.clientWaits; l.clock.now() > end+long/2 {
+	if end := x.arrivedAt + x.clientTimeout; l.clock.now() > end+long/2 {
 		t.Errorf("answered %v after the client's time", l.clock.now()-end)
 	}
 	s.has(t, "list 2", "request r1", "lapsed r1")
@@ -223,7 +223,7 @@
 	if a := receive(t, "the answer", l.arriveNow("r1", long).reply); a.status != http.StatusConflict {
 		t.Errorf("duplicate: status %d", a.status)
 	}
-	l.send(departure{x: x})
+	l.send(departure{request: x})
 	if a := receive(t, "the answer", l.arriveNow("r1", long).reply); a.status != http.StatusConflict {
 		t.Errorf("duplicate of one that is over: status %d", a.status)
 	}
@@ -251,7 +251,7 @@
 			if e.ID == "tried" {
 				return sends(e.ID, 1)
 			}
-		case policy.Lapsed:
+		case policy.ClientGone:
 			return []policy.Action{{Kind: policy.Cancel, ID: e.ID}}
 		}
 		return nil
@@ -277,9 +277,9 @@
 
 // A request that is over leaves nothing behind, however far off its deadline was.
 func TestEndedRequestsAreForgotten(t *testing.T) {
-	l := &loop{clock: clock{start: time.Now()}, requests: make(map[string]*request), used: ids{seed: maphash.MakeSeed()},
+	l := &loop{clock: clock{start: time.Now()}, requests: make(map[string]*request), recentIDs: recentIDs{seed: maphash.MakeSeed()},
 		metrics: newMetrics()}
-	l.trace.metrics = l.metrics
+	l.requestLog.metrics = l.metrics
 	l.module = &script{answer: func(_ policy.Time, ev policy.Event) []policy.Action {
 		if e, ok := ev.(policy.Request); ok {
 			return []policy.Action{{Kind: policy.Refuse, ID: e.ID}}
@@ -287,32 +287,32 @@
 		return nil
 	}}
 	for i := range 50 {
-		l.handle(t.Context(), arrival{testClientRequest(http.MethodGet, fmt.Sprint(i), "")})
+		l.handleEvent(t.Context(), arrival{testClientRequest(http.MethodGet, fmt.Sprint(i), "")})
 	}
-	if len(l.requests) != 0 || len(l.timers) != 0 || l.owed != 0 {
-		t.Errorf("%d requests, %d timers, %d answers owed", len(l.requests), len(l.timers), l.owed)
+	if len(l.requests) != 0 || len(l.timers) != 0 || l.unanswered != 0 {
+		t.Errorf("%d requests, %d timers, %d answers owed", len(l.requests), len(l.timers), l.unanswered)
 	}
 }
 
 // Ids are remembered long enough for their copies, and not for ever.
 func TestIDsAreForgotten(t *testing.T) {
-	s := ids{seed: maphash.MakeSeed()}
+	s := recentIDs{seed: maphash.MakeSeed()}
 	for i := range 20 {
-		now := timeOrigin + policy.Time(i)*idsFor
+		now := timeOrigin + policy.Time(i)*idRetention
 		if !s.add(fmt.Sprint("r", i), now) || s.add(fmt.Sprint("r", i), now) {
 			t.Fatal("a new id was taken for a known one, or a known one for new")
 		}
 		if i > 0 && s.add(fmt.Sprint("r", i-1), now) {
-			t.Errorf("r%d is forgotten within %v", i-1, idsFor)
+			t.Errorf("r%d is forgotten within %v", i-1, idRetention)
 		}
 	}
-	if len(s.now)+len(s.older) > 4 {
-		t.Errorf("%d and %d ids are kept", len(s.now), len(s.older))
+	if len(s.newer)+len(s.older) > 4 {
+		t.Errorf("%d and %d ids are kept", len(s.newer), len(s.older))
 	}
-	for i := range 4 * maxIDs {
-		s.add(fmt.Sprint("flood", i), timeOrigin+20*idsFor)
+	for i := range 4 * maxRetainedIDs {
+		s.add(fmt.Sprint("flood", i), timeOrigin+20*idRetention)
 	}
-	if len(s.now) > maxIDs || len(s.older) > maxIDs {
-		t.Errorf("%d and %d ids are kept of a flood", len(s.now), len(s.older))
+	if len(s.newer) > maxRetainedIDs || len(s.older) > maxRetainedIDs {
+		t.Errorf("%d and %d ids are kept of a flood", len(s.newer), len(s.older))
 	}
 }
--- a/internal/node/memory_budget.go
+++ b/internal/node/memory_budget.go
@@ -8,57 +8,57 @@
 )
 
 const (
-	wholeBody   = 64 << 10 // bytes up to which a body is held whole
-	maxBody     = 32 << 20 // and that it may have at all
-	pieceSize   = 16 << 10 // in which longer ones go on
-	heldBody    = 1 << 20  // bytes up to which a request is held whole if there is room
-	budgetPart  = 1.0 / 16 // of the memory, for the bytes of bodies on each side, the small and the large apart
-	leastBudget = 2 * wholeBody
+	maxSmallBody   = 64 << 10 // bytes up to which a body is buffered completely
+	maxBodySize    = 32 << 20 // limit of any body, in bytes
+	pieceSize      = 16 << 10 // bytes in which larger bodies are forwarded
+	maxHeldBody    = 1 << 20  // bytes up to which a request is buffered completely if there is memory
+	budgetFraction = 1.0 / 16 // of the memory, for each of the separate budgets below
+	minBudget      = 2 * maxSmallBody
 )
 
-// memoryBudget is the memory that bodies may take. Whoever wants to read one waits for its part first. Requests and
-// answers have theirs apart, for a request holds its bytes while its answer is waited for; and so have small
-// and large bodies, lest a few slow large ones keep out all others.
+// memoryBudget limits the memory for bodies. Whoever reads a body reserves memory for it first. Requests and responses
+// have separate budgets, since a request holds its memory until its response has arrived. So have small and large bodies,
+// lest a few slow large ones block all others.
 type memoryBudget struct {
 	requests, answers           *semaphore.Weighted
 	largeRequests, largeAnswers *semaphore.Weighted
-	held                        *semaphore.Weighted // for large requests that are held whole while there is room
+	heldRequests                *semaphore.Weighted // for large requests that are buffered completely
 
-	rate float64 // bytes a second at which one large body goes on
+	bodyRate float64 // bytes per second at which one large body is forwarded
 }
 
 func newMemoryBudget(memoryMB int64, cores float64) *memoryBudget {
-	most := max(leastBudget, int64(budgetPart*float64(memoryMB<<20)))
-	part := func() *semaphore.Weighted { return semaphore.NewWeighted(most) }
-	return &memoryBudget{requests: part(), answers: part(), largeRequests: part(), largeAnswers: part(), held: part(),
-		rate: flowRate * cores}
+	size := max(minBudget, int64(budgetFraction*float64(memoryMB<<20)))
+	newBudget := func() *semaphore.Weighted { return semaphore.NewWeighted(size) }
+	return &memoryBudget{requests: newBudget(), answers: newBudget(), largeRequests: newBudget(), largeAnswers: newBudget(), heldRequests: newBudget(),
+		bodyRate: bodyRatePerCore * cores}
 }
 
-// reservation is the part of the budget that one body has. A nil reservation has none.
+// reservation is the part of a budget that is reserved for one body. A nil reservation is valid and empty.
 type reservation struct {
-	of *semaphore.Weighted
+	budget *semaphore.Weighted
 
 	mu    sync.Mutex
 	bytes int64
 }
 
-// reserve waits for a part of the budget.
+// reserve waits until bytes of the budget are available, and reserves them.
 func reserve(ctx context.Context, of *semaphore.Weighted, bytes int64) (*reservation, error) {
 	if err := of.Acquire(ctx, bytes); err != nil {
 		return nil, err
 	}
-	return &reservation{of: of, bytes: bytes}, nil
+	return &reservation{budget: of, bytes: bytes}, nil
 }
 
-// tryReserve takes room if there is some at once; else it returns nil.
+// tryReserve reserves bytes if they are available at once; otherwise it returns nil.
 func tryReserve(of *semaphore.Weighted, bytes int64) *reservation {
 	if !of.TryAcquire(bytes) {
 		return nil
 	}
-	return &reservation{of: of, bytes: bytes}
+	return &reservation{budget: of, bytes: bytes}
 }
 
-// resize gives back what is more than bytes.
+// resize returns what exceeds bytes to the budget.
 func (r *reservation) resize(bytes int64) {
 	if r == nil {
 		return
@@ -66,7 +66,7 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if bytes < r.bytes {
-		r.of.Release(r.bytes - bytes)
+		r.budget.Release(r.bytes - bytes)
 		r.bytes = bytes
 	}
 }
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -14,128 +14,128 @@
 )
 
 const (
-	ownSockets   = 24                     // descriptors for the log, discovery, the runtime and the like
-	clientsPart  = 0.4                    // of the others for clients: the third that their requests take, and some room
-	longestDrain = 3 * time.Second        // no client waits longer once a node is told to stop
-	leavingPart  = 0.6                    // of that, in which the node still takes in what comes
-	leavingLeast = 450 * time.Millisecond // new connections come for up to 0.4 s after SIGTERM
-	killSlack    = 300 * time.Millisecond // of the 0.7 s that SIGKILL comes after the longest deadline
-	readyLatest  = 5 * time.Second        // a node that knows no server says that it is ready after this all the same
-	lookEvery    = 10 * time.Millisecond  // for whether clients are left
-	lastAnswers  = 100 * time.Millisecond // for what is failed then to reach its clients
+	reservedSockets      = 24                     // descriptors for the log, discovery, the runtime and the like
+	clientSocketFraction = 0.4                    // of the others for clients: the third that their requests take, and some spare
+	maxDrain             = 3 * time.Second        // limit of the time that clients wait once a node is told to stop
+	leavingFraction      = 0.6                    // of the longest deadline, in which the node still accepts connections
+	minLeaving           = 450 * time.Millisecond // new connections arrive for up to 0.4 s after SIGTERM
+	killMargin           = 300 * time.Millisecond // used beyond the longest deadline; SIGKILL comes 0.7 s after it
+	readyTimeout         = 5 * time.Second        // a node that knows no server reports ready after this all the same
+	drainPollInterval    = 10 * time.Millisecond  // between checks whether clients are left
+	finalAnswerTime      = 100 * time.Millisecond // for the answers of requests that are ended last to reach their clients
 )
 
-// Listeners are the listeners that a node is reached by.
+// Listeners are the listeners of a node.
 type Listeners struct {
 	Clients   net.Listener
 	Operators net.Listener // nil: there is no admin listener
 }
 
-// Run serves clients until ctx ends. Then it goes on accepting for a moment, answers what it has taken,
-// and returns. Discovery follows the addresses that come from moves.
+// Run serves clients until ctx ends. Then it continues to accept connections for a moment, answers the open requests, and
+// returns. Discovery uses the addresses received from moves.
 func Run(ctx context.Context, c Config, listeners Listeners, moves <-chan string) error {
 	ck := clock{start: time.Now()}
-	h, old := succeed(&c)
+	h, inherited := takeOver(&c)
 	var joined atomic.Pointer[handover]
 	if h != nil {
 		joined.Store(h)
 		defer h.leave()
 	}
-	own := ownSockets
+	reserved := reservedSockets
 	if listeners.Operators != nil {
-		own += adminSockets
+		reserved += adminSockets
 	}
-	most := int(clientsPart * float64(c.Sockets-own))
-	up := newUpstream(c, c.Sockets-own-most)
+	clientSockets := int(clientSocketFraction * float64(c.Sockets-reserved))
+	up := newUpstream(c, c.Sockets-reserved-clientSockets)
 	defer up.close()
 	logSettings(c.Settings)
 	slog.Info("limits", "nodes", c.Settings.Nodes, "max_open", c.MaxOpen, "connect_timeout", c.ConnectTimeout,
 		"connection_idle", c.Settings.Allowed.ConnIdle, "max_retry_after", c.Settings.Allowed.MaxRetryAfter,
-		"client_sockets", most, "server_sockets", up.most)
+		"client_sockets", clientSockets, "server_sockets", up.maxOpen)
 	l, err := newLoop(c, ck, up)
 	if err != nil {
 		return err
 	}
 	if m, ok := l.module.(*policy.Balancer); ok {
-		m.Restore(ck.now(), old.Policy, time.Since(old.Saved))
+		m.Restore(ck.now(), inherited.Policy, time.Since(inherited.Saved))
 	}
 	s := newServer(c, l)
-	clients := newClients(listeners.Clients, most)
+	clients := newClients(listeners.Clients, clientSockets)
 	clients.monitor = up.monitor
-	clients.available, up.borrowed, up.reclaim = up.available, clients.borrowed, clients.reclaim
+	clients.spareSockets, up.borrowed, up.reclaim = up.available, clients.borrowed, clients.reclaim
 	l.clients = clients
 	clients.metrics = l.metrics
-	l.metrics.watch(up.monitor, clients, up, &s.life, c.LogDropped)
-	s.life.closeIdle = clients.closeIdle
+	l.metrics.registerSources(up.monitor, clients, up, &s.lifecycle, c.LogDropped)
+	s.lifecycle.closeIdle = clients.closeIdle
 	if h != nil {
-		s.life.follow(h.noteStandby)
+		s.lifecycle.setStandbyRecorder(h.recordStandby)
 	}
-	defer s.life.end()
-	if listeners.Operators != nil { // before all else, so that operators can ask how the start goes
-		defer startAdmin(listeners.Operators, c.Name, &s.life, l.metrics.handler()).close()
+	defer s.lifecycle.stopDraining()
+	if listeners.Operators != nil { // first, so that operators can follow the start
+		defer startAdmin(listeners.Operators, c.Name, &s.lifecycle, l.metrics.handler()).close()
 	}
 	s.http.ErrorLog = slog.NewLogLogger(slog.Default().Handler(), slog.LevelWarn)
 
 	running, stop := context.WithCancel(context.Background())
-	var parts sync.WaitGroup
-	defer parts.Wait()
+	var tasks sync.WaitGroup
+	defer tasks.Wait()
 	defer stop()
-	parts.Go(func() { l.run(running, c.Known) })
-	parts.Go(func() { l.disc.Run(running) })
-	parts.Go(func() {
+	tasks.Go(func() { l.run(running, c.Known) })
+	tasks.Go(func() { l.discovery.Run(running) })
+	tasks.Go(func() {
 		for {
 			select {
 			case addr := <-moves:
-				l.disc.Move(addr)
+				l.discovery.Move(addr)
 			case <-running.Done():
 				return
 			}
 		}
 	})
 
-	<-l.ready
-	if old.Standby {
-		s.life.standBy()
+	<-l.initialListApplied
+	if inherited.Standby {
+		s.lifecycle.enterStandby()
 	}
-	shares := &shared{handover: h, loop: l, life: &s.life, clients: clients, up: up, clientSockets: most,
-		serverSockets: up.most, ownSockets: own}
+	shares := &sharedLimits{handover: h, loop: l, lifecycle: &s.lifecycle, clients: clients, upstream: up, clientSockets: clientSockets,
+		serverSockets: up.maxOpen, reservedSockets: reserved}
 	switch {
 	case h != nil:
 		shares.step(time.Now())
-		parts.Go(func() { shares.run(running) })
+		tasks.Go(func() { shares.run(running) })
 	case c.Handover != "":
-		parts.Go(func() { shares.joinLater(running, c.Handover, &joined) })
+		tasks.Go(func() { shares.joinLater(running, c.Handover, &joined) })
 	}
 	select {
-	case <-l.serves: // before the first client is taken in
-		s.life.load()
+	case <-l.serverKnown: // before the first client is accepted
+		s.lifecycle.markServersKnown()
 	default:
-		parts.Go(func() {
+		tasks.Go(func() {
 			if !l.awaitServers(running) {
-				slog.Warn("ready without knowing a server")
+				slog.Warn("reporting ready although no server is known")
 			}
-			s.life.load()
+			s.lifecycle.markServersKnown()
 		})
 	}
 	failed := make(chan error, 1)
-	parts.Go(func() { failed <- s.http.Serve(clients) })
+	tasks.Go(func() { failed <- s.http.Serve(clients) })
 	select {
 	case err := <-failed:
 		return fmt.Errorf("serving: %w", err)
 	case <-ctx.Done():
 	}
 	h = joined.Load()
-	s.drain(c, clients, failed, h != nil && h.succeeded())
+	s.drain(c, clients, failed, h != nil && h.hasSuccessor())
 	return nil
 }
 
-// awaitServers waits until a server is known, but not for longer than the pages leave time for, and reports which:
-// discovery may be away, and the front would send nobody for as long.
+// awaitServers waits until a server is known, but no longer than the time limit for readiness allows, and reports whether
+// one is: discovery may be unavailable, and the front would send no clients all the while.
 func (l *loop) awaitServers(ctx context.Context) bool {
-	late := time.NewTimer(readyLatest)
+	late := time.NewTimer(readyTimeout)
 	defer late.Stop()
 	select {
-	case <-l.serves:
+	case <-l.serverKnown:
 		return true
 	case <-late.C:
 	case <-ctx.Done():
@@ -143,86 +143,86 @@
 	return false
 }
 
-// succeed takes this process's place among the node's, and what the one before it has left.
-func succeed(c *Config) (*handover, snapshot) {
+// takeOver joins the processes of this node, and reads the snapshot of the process before this one.
+func takeOver(c *Config) (*handover, snapshot) {
 	if c.Handover == "" {
 		return nil, snapshot{}
 	}
-	h, err := joinPatiently(c.Handover)
-	if err != nil { // it can serve all the same, and the clients' socket is there
-		slog.Warn("handover: none yet, for the folder is of no use", "err", err)
+	h, err := joinWithRetry(c.Handover)
+	if err != nil { // the node can serve without it, as the clients' listener exists
+		slog.Warn("handover: can't join the folder, starting without it", "err", err)
 		return nil, snapshot{}
 	}
-	if h.before == 0 {
+	if h.predecessor == 0 {
 		return h, snapshot{}
 	}
-	old, err := h.read(h.before, time.Now())
+	inherited, err := h.readSnapshot(h.predecessor, time.Now())
 	if err != nil {
-		slog.Warn("handover: starting without the old process's word", "err", err)
+		slog.Warn("handover: starting without the old process's snapshot", "err", err)
 		return h, snapshot{}
 	}
-	slog.Info("handover: taking over", "servers", len(old.Members), "revision", old.Revision, "standby", old.Standby,
-		"age", time.Since(old.Saved))
-	if len(old.Members) > 0 {
-		c.Known = discovery.List{Revision: old.Revision, Complete: true, Members: old.Members}
+	slog.Info("handover: taking over", "servers", len(inherited.Members), "revision", inherited.Revision, "standby", inherited.Standby,
+		"age", time.Since(inherited.Saved))
+	if len(inherited.Members) > 0 {
+		c.Known = discovery.List{Revision: inherited.Revision, Complete: true, Members: inherited.Members}
 	}
-	return h, old
+	return h, inherited
 }
 
-// drain ends the service. Clients go on coming for a while, and go on using the connections that they
-// have: there may be no other node for them yet. So the node serves as before at first, and says only
-// that it isn't ready; then it ends each connection with its answer, early enough for what it took last.
-// Where a successor takes the clients, it begins with that.
-func (s *server) drain(c Config, clients *clients, served <-chan error, succeeded bool) {
+// drain ends the service. Clients keep connecting and keep using their connections for a while: there may be no other
+// node for them yet. So at first the node serves as before, and only reports that it isn't ready. Then it closes each
+// connection with its response, early enough for the requests accepted last. If a successor serves the clients, it starts
+// closing at once.
+func (s *server) drain(c Config, clients *clientListener, served <-chan error, succeeded bool) {
 	var longest time.Duration
 	for _, class := range c.Settings.Classes {
 		longest = max(longest, class.Deadline)
 	}
-	longest = min(longest, longestDrain)
-	leave := max(leavingLeast, time.Duration(leavingPart*float64(longest)))
-	longest += killSlack
+	longest = min(longest, maxDrain)
+	leavingTime := max(minLeaving, time.Duration(leavingFraction*float64(longest)))
+	longest += killMargin
 	if succeeded {
-		leave = 0
+		leavingTime = 0
 	}
-	slog.Info("stopping", "succeeded", succeeded, "serves_on", leave, "at_most", longest)
+	slog.Info("stopping", "succeeded", succeeded, "serves_on", leavingTime, "at_most", longest)
 	late := time.NewTimer(longest)
 	defer late.Stop()
-	s.life.leave(leave)
-	if leave > 0 {
-		time.Sleep(leave)
+	s.lifecycle.beginLeaving(leavingTime)
+	if leavingTime > 0 {
+		time.Sleep(leavingTime)
 	}
-	s.life.close()
+	s.lifecycle.beginClosing()
 	clients.Close()
-	<-served // the last connection that was accepted is among those that are waited for
-	if s.emptied(clients, late.C) {
+	<-served // the last accepted connection is among those that are counted
+	if s.awaitNoClients(clients, late.C) {
 		return
 	}
-	s.finish()
-	late.Reset(lastAnswers)
-	if !s.emptied(clients, late.C) {
-		slog.Warn("stopped with clients left", "connections", clients.left())
-		clients.cutOff()
+	s.endOpenRequests()
+	late.Reset(finalAnswerTime)
+	if !s.awaitNoClients(clients, late.C) {
+		slog.Warn("stopped with client connections open", "connections", clients.openCount())
+		clients.stopLingering()
 		s.http.Close()
 	}
 }
 
-// finish ends what is still open, and refuses what comes yet. The handlers do so themselves, for the loop may be late, and
-// connections are cut soon.
-func (s *server) finish() {
-	s.loop.send(finish{}) // ahead of what the handlers tell the loop
-	close(s.ending)
+// endOpenRequests ends the requests that are still open, and refuses new ones. The handlers do so themselves, since the
+// loop may be late and connections will soon be cut.
+func (s *server) endOpenRequests() {
+	s.loop.send(finish{}) // before the events that the handlers send to the loop
+	close(s.answerNow)
 }
 
-// emptied waits until no client is left, and reports false if it grew late first.
-func (s *server) emptied(clients *clients, late <-chan time.Time) bool {
-	look := time.NewTicker(lookEvery)
-	defer look.Stop()
-	for clients.left() > 0 {
+// awaitNoClients waits until no client is left. It returns false if late fires first.
+func (s *server) awaitNoClients(clients *clientListener, late <-chan time.Time) bool {
+	ticker := time.NewTicker(drainPollInterval)
+	defer ticker.Stop()
+	for clients.openCount() > 0 {
 		select {
-		case <-look.C:
+		case <-ticker.C:
 		case <-late:
-			time.Sleep(2 * lookEvery) // a process that was held up until now has not run since then
-			return clients.left() == 0
+			time.Sleep(2 * drainPollInterval) // if the process was suspended, its handlers have not run since late fired
+			return clients.openCount() == 0
 		}
 	}
 	return true
--- a/internal/node/overload_test.go
+++ b/internal/node/overload_test.go
@@ -15,7 +15,7 @@
 func TestEventsAreTakenByPriority(t *testing.T) {
 	q := newEventQueue()
 	first, second := arrival{testClientRequest(http.MethodGet, "1", "")}, arrival{testClientRequest(http.MethodGet, "2", "")}
-	outcome, news, left := ending{n: 7}, heardNews{sequence: 1}, departure(first)
+	outcome, news, left := attemptEnd{index: 7}, receivedUpdate{sequence: 1}, departure(first)
 	for _, ev := range []any{first, outcome, second, news, left} {
 		q.push(ev)
 	}
@@ -24,7 +24,7 @@
 	}
 	var got []string
 	for {
-		ev, ok := q.take()
+		ev, ok := q.pop()
 		if !ok {
 			break
 		}
@@ -59,7 +59,7 @@
 	now := s.origin
 	took := func(after, waited time.Duration) bool {
 		now = now.Add(after)
-		return s.took(now, waited)
+		return s.observe(now, waited)
 	}
 	for range 20 { // a burst, worked off
 		if took(time.Millisecond, 150*time.Millisecond) {
@@ -72,19 +72,19 @@
 	if took(shedInterval-1, 150*time.Millisecond) {
 		t.Error("turned away before the interval was over")
 	}
-	if s.refuses(now, now.Add(-time.Second)) {
+	if s.shouldRefuse(now, now.Add(-time.Second)) {
 		t.Error("refused at arrival before any was turned away")
 	}
 	if !took(1, 2*shedTarget) {
 		t.Error("not turned away though all waited for the whole interval")
 	}
-	if !s.refuses(now, now.Add(-2*shedTarget)) {
+	if !s.shouldRefuse(now, now.Add(-2*shedTarget)) {
 		t.Error("taken in behind a request that has waited too long")
 	}
-	if s.refuses(now, time.Time{}) || s.refuses(now, now.Add(-shedTarget)) {
+	if s.shouldRefuse(now, time.Time{}) || s.shouldRefuse(now, now.Add(-shedTarget)) {
 		t.Error("refused though nobody waits for long")
 	}
-	if s.refuses(now.Add(shedFor), now) {
+	if s.shouldRefuse(now.Add(shedDuration), now) {
 		t.Error("refused long after the last was turned away")
 	}
 	if took(1, 0) || took(1, 150*time.Millisecond) {
@@ -126,9 +126,9 @@
 		for range count {
 			o := <-outcomes
 			slowest = max(slowest, o.took)
-			if o.retry == retryAfterText(time.Minute) {
+			if o.retry == formatRetryAfter(time.Minute) {
 				decided++
-			} else if o.retry == retryAfterText(ownRetryAfter) {
+			} else if o.retry == formatRetryAfter(nodeRetryAfter) {
 				shed++
 			}
 		}
@@ -147,40 +147,40 @@
 	running := members(t, "127.0.0.1:9")
 	drained := members(t, "127.0.0.1:9")
 	drained[0].Availability = policy.Draining
-	news := func(place uint64, kind policy.ListKind, m []discovery.Member) heardNews {
-		return heardNews{News: discovery.News{Kind: kind, Members: m}, sequence: place}
+	news := func(place uint64, kind policy.ListKind, m []discovery.Member) receivedUpdate {
+		return receivedUpdate{Update: discovery.Update{Kind: kind, Members: m}, sequence: place}
 	}
 	leaving := func() bool { return up.pools["s0"] == nil || up.isLeaving(up.pools["s0"]) }
-	up.follow(news(0, policy.ListRestored, running))
+	up.applyList(news(0, policy.ListRestored, running))
 	if leaving() {
 		t.Fatal("a running server is out of use")
 	}
-	up.stopLeaving(news(2, policy.ListUpdate, drained))
+	up.stopLeavingServers(news(2, policy.ListUpdate, drained))
 	if !leaving() {
 		t.Error("a drain that was heard is not in force")
 	}
-	up.follow(news(1, policy.ListReplace, running))
+	up.applyList(news(1, policy.ListReplace, running))
 	if !leaving() {
 		t.Error("older news undid the drain")
 	}
-	up.follow(news(2, policy.ListUpdate, drained))
-	up.stopLeaving(news(3, policy.ListUpdate, running))
-	up.follow(news(3, policy.ListUpdate, running))
+	up.applyList(news(2, policy.ListUpdate, drained))
+	up.stopLeavingServers(news(3, policy.ListUpdate, running))
+	up.applyList(news(3, policy.ListUpdate, running))
 	if leaving() {
 		t.Error("a server that is back is out of use")
 	}
-	up.stopLeaving(news(5, policy.ListReplace, nil))
+	up.stopLeavingServers(news(5, policy.ListReplace, nil))
 	if !leaving() {
 		t.Error("a server that a whole list lacks is in use")
 	}
-	up.follow(news(4, policy.ListUpdate, running))
+	up.applyList(news(4, policy.ListUpdate, running))
 	if !leaving() {
 		t.Error("older news undid a whole list")
 	}
-	up.follow(news(5, policy.ListReplace, nil))
-	up.stopLeaving(news(6, policy.ListUpdate, running))
-	up.follow(news(6, policy.ListUpdate, running))
-	if leaving() || len(up.stopped) != 0 {
-		t.Errorf("out of use after all: %v, %v", leaving(), up.stopped)
+	up.applyList(news(5, policy.ListReplace, nil))
+	up.stopLeavingServers(news(6, policy.ListUpdate, running))
+	up.applyList(news(6, policy.ListUpdate, running))
+	if leaving() || len(up.stopSequences) != 0 {
+		t.Errorf("out of use after all: %v, %v", leaving(), up.stopSequences)
 	}
 }
--- a/internal/node/queued_test.go
+++ b/internal/node/queued_test.go
@@ -79,7 +79,7 @@
 			_, _ = io.WriteString(dialled, flood.String())
 			dialled.Close()
 			close(proceed)
-			await(t, "the end of the connection", func() bool { return all.left() == 0 })
+			await(t, "the end of the connection", func() bool { return all.openCount() == 0 })
 			if len(got) > 0 {
 				t.Errorf("%d more attempts, the first is %s", len(got), <-got)
 			}
@@ -88,7 +88,7 @@
 }
 
 // serveNode runs a loop that knows the server at addr, and serves clients for it.
-func serveNode(t *testing.T, addr string) (node string, all *clients) {
+func serveNode(t *testing.T, addr string) (node string, all *clientListener) {
 	t.Helper()
 	l, err := newLoop(testConfig(t, knownList(addr)), clock{start: time.Now()}, testUpstream(t, addr))
 	if err != nil {
@@ -121,7 +121,7 @@
 			t.Fatal(err)
 		}
 		_, _ = io.ReadAll(in) // to the connection's end
-		if d := time.Since(began); d > clientIdle/2 {
+		if d := time.Since(began); d > clientIdleTimeout/2 {
 			t.Errorf("after %q it is let go after %v", part, d)
 		}
 	}
@@ -134,7 +134,7 @@
 	if _, err := io.WriteString(theirs, queuedRequest("r1", "")); err != nil {
 		t.Fatal(err)
 	}
-	await(t, "the request", func() bool { return unread(ours.TCPConn) })
+	await(t, "the request", func() bool { return hasUnread(ours.TCPConn) })
 	came := time.Now()
 	const heldUp = 50 * time.Millisecond
 	<-time.After(heldUp)
@@ -142,7 +142,7 @@
 		t.Fatal(err)
 	}
 	const step = 10 * time.Millisecond // of the system's clock for it
-	if late := ours.arrived().Sub(came); late > step {
+	if late := ours.arrivedAt().Sub(came); late > step {
 		t.Errorf("it counts from %v after it came", late)
 	}
 }
@@ -227,18 +227,18 @@
 	ours.owner.mu.Lock()
 	ours.readAhead.append([]byte("G"), time.Now()) // of a request behind it
 	ours.owner.mu.Unlock()
-	if !ours.mayStay(true) || !ours.lastTurn {
+	if !ours.mayStayOpen(true) || !ours.closeAfterReadAhead {
 		t.Fatal("what was read is not waited for")
 	}
-	if ours.presence() != present {
+	if ours.presence() != clientPresent {
 		t.Fatal("the client counts as gone")
 	}
 	ours.owner.mu.Lock()
-	ours.fullSince = time.Now().Add(-time.Minute) // it is long ago that anybody looked
+	ours.readAheadFullSince = time.Now().Add(-time.Minute) // it is long ago that anybody looked
 	ours.readAhead = readAheadBuffer{}
-	ours.markIdle()
+	ours.markWaiting()
 	ours.owner.mu.Unlock()
-	if !ours.mayStay(false) || ours.lastTurn {
+	if !ours.mayStayOpen(false) || ours.closeAfterReadAhead {
 		t.Error("nothing is read ahead any more")
 	}
 	before := time.Now()
@@ -250,7 +250,7 @@
 	await(t, "a look at the socket", func() bool {
 		ours.owner.mu.Lock()
 		defer ours.owner.mu.Unlock()
-		return ours.fullSince.IsZero()
+		return ours.readAheadFullSince.IsZero()
 	})
 	if _, err := io.WriteString(theirs, queuedRequest("r2", "")); err != nil {
 		t.Fatal(err)
@@ -258,7 +258,7 @@
 	if err := receive(t, "the request", read); err != nil {
 		t.Fatal(err)
 	}
-	if early := before.Sub(ours.arrived()); early > time.Second {
+	if early := before.Sub(ours.arrivedAt()); early > time.Second {
 		t.Errorf("the request counts from %v before it was written", early)
 	}
 }
--- a/internal/node/readiness_test.go
+++ b/internal/node/readiness_test.go
@@ -29,19 +29,19 @@
 			began, ready := time.Now(), make(chan bool, 1)
 			go func() { ready <- l.awaitServers(ctx) }()
 			time.Sleep(time.Second)
-			l.send(discovery.News{Kind: policy.ListUpdate, Revision: 2}) // with nobody in it
-			l.send(discovery.News{Kind: policy.ListUpdate, Revision: 3, Members: []discovery.Member{phased(t, "127.0.0.1:9", policy.Draining)}})
+			l.send(discovery.Update{Kind: policy.ListUpdate, Revision: 2}) // with nobody in it
+			l.send(discovery.Update{Kind: policy.ListUpdate, Revision: 3, Members: []discovery.Member{phased(t, "127.0.0.1:9", policy.Draining)}})
 			synctest.Wait()
 			if len(ready) > 0 {
 				t.Fatal("ready without a server")
 			}
 			if hears {
-				l.send(discovery.News{Kind: policy.ListUpdate, Revision: 4, Members: []discovery.Member{phased(t, "127.0.0.1:9", policy.Running)}})
+				l.send(discovery.Update{Kind: policy.ListUpdate, Revision: 4, Members: []discovery.Member{phased(t, "127.0.0.1:9", policy.Running)}})
 			}
 			if <-ready != hears {
 				t.Errorf("a server is known: %v", !hears)
 			}
-			if want := map[bool]time.Duration{false: readyLatest, true: time.Second}[hears]; time.Since(began) != want {
+			if want := map[bool]time.Duration{false: readyTimeout, true: time.Second}[hears]; time.Since(began) != want {
 				t.Errorf("ready after %v, want %v", time.Since(began), want)
 			}
 		})
--- a/internal/node/request_ids.go
+++ b/internal/node/request_ids.go
@@ -6,23 +6,23 @@
 	"cobaltward/policy"
 )
 
-// ids remembers for a while, between idsFor and twice that, which ids requests came under: two
-// halves, of which the older is dropped whole, so that it neither grows nor needs to be searched.
-// At very many a second the while is shorter. Hashes stand for the ids, to keep it small.
-type ids struct {
-	seed       maphash.Seed
-	began      policy.Time
-	now, older map[uint64]struct{}
+// recentIDs remembers the ids of recent requests for between idRetention and twice that, to detect duplicates. It consists of
+// two sets, of which the older is dropped as a whole, so it neither grows without bound nor needs to be searched for
+// expired ids. At a very high request rate the time is shorter. It stores hashes of the ids to save memory.
+type recentIDs struct {
+	seed         maphash.Seed
+	began        policy.Time
+	newer, older map[uint64]struct{}
 }
 
-// add takes an id in, or reports false where it is there already.
-func (s *ids) add(id string, now policy.Time) bool {
-	if s.now == nil || now-s.began >= idsFor || len(s.now) >= maxIDs {
-		s.older, s.now, s.began = s.now, make(map[uint64]struct{}), now
+// add adds an id. It returns false if the id is already present.
+func (s *recentIDs) add(id string, now policy.Time) bool {
+	if s.newer == nil || now-s.began >= idRetention || len(s.newer) >= maxRetainedIDs {
+		s.older, s.newer, s.began = s.newer, make(map[uint64]struct{}), now
 	}
 	h := maphash.String(s.seed, id)
-	_, fresh := s.now[h]
-	_, old := s.older[h]
-	s.now[h] = struct{}{}
-	return !fresh && !old
+	_, inNewer := s.newer[h]
+	_, inOlder := s.older[h]
+	s.newer[h] = struct{}{}
+	return !inNewer && !inOlder
 }
--- a/internal/node/request_reader.go
+++ b/internal/node/request_reader.go
@@ -15,27 +15,27 @@
 	"cobaltward/policy"
 )
 
-// read takes in a whole request, or says what is wrong with it. What it lets through reaches servers.
-func (s *server) read(w http.ResponseWriter, r *http.Request) (x *clientRequest, status int, problem string) {
+// readRequest reads and validates a request, or returns what is wrong with it. What it accepts is forwarded to servers.
+func (s *server) readRequest(w http.ResponseWriter, r *http.Request) (x *clientRequest, status int, problem string) {
 	h := r.Header
 	for _, name := range []string{"X-Request-Id", "X-Class", "X-Tenant", "X-Deadline-Ms", "Idempotency-Key"} {
-		if len(h[name]) > 1 { // this node and a server might each go by another
+		if len(h[name]) > 1 { // the node and a server might each use a different one
 			return nil, http.StatusBadRequest, name + ": given twice"
 		}
 	}
 	id := h.Get("X-Request-Id")
-	if !usableID(id) {
+	if !validID(id) {
 		return nil, http.StatusBadRequest, "X-Request-Id: missing or malformed"
 	}
-	if len(h.Get("X-Tenant")) > maxID { // the module remembers it
+	if len(h.Get("X-Tenant")) > maxIDLength { // the module stores it
 		return nil, http.StatusBadRequest, "X-Tenant: too long"
 	}
 	class, ok := s.classes[h.Get("X-Class")]
 	if !ok {
 		return nil, http.StatusBadRequest, "X-Class: unknown"
 	}
-	waits, err := strconv.ParseUint(h.Get("X-Deadline-Ms"), 10, 64)
-	if err != nil || waits == 0 || waits > maxDeadlineMs {
+	deadlineMs, err := strconv.ParseUint(h.Get("X-Deadline-Ms"), 10, 64)
+	if err != nil || deadlineMs == 0 || deadlineMs > maxDeadlineMs {
 		return nil, http.StatusBadRequest, "X-Deadline-Ms: want whole milliseconds above 0"
 	}
 	method := http.MethodPost
@@ -46,52 +46,52 @@
 		w.Header().Set("Allow", method)
 		return nil, http.StatusMethodNotAllowed, "this class takes " + method
 	}
-	// Servers drop the repeats of a key: without one, a second attempt could take effect twice.
+	// Servers drop repeats of the same key: without a key, a second attempt could take effect twice.
 	if class.Repeat == policy.Guarded && h.Get("Idempotency-Key") == "" {
 		return nil, http.StatusBadRequest, "Idempotency-Key: missing"
 	}
-	if r.ContentLength > maxBody { // not a byte of it need be read
+	if r.ContentLength > maxBodySize { // reject without reading any of it
 		return nil, http.StatusRequestEntityTooLarge, errTooLarge.Error()
 	}
-	x = &clientRequest{method: method, length: r.ContentLength, client: clientOf(r)}
-	// No client waits longer than its class allows, whatever it says.
-	x.clientWaits = min(time.Duration(waits)*time.Millisecond, class.Deadline)
+	x = &clientRequest{method: method, length: r.ContentLength, client: clientConnOf(r)}
+	// No client waits longer than its class allows, whatever it states.
+	x.clientTimeout = min(time.Duration(deadlineMs)*time.Millisecond, class.Deadline)
 	if err := s.readBody(w, r, x); err != nil {
 		x.reserved.release()
-		status, problem = bodyProblem(err)
+		status, problem = bodyErrorStatus(err)
 		return nil, status, problem
 	}
 	if method == http.MethodGet && len(x.body) > 0 {
 		x.reserved.release()
 		return nil, http.StatusBadRequest, "a GET has no body"
 	}
-	hint, _ := strconv.ParseUint(h.Get("X-Cost-Hint"), 10, 32) // a guess; none is as good as a bad one
+	hint, _ := strconv.ParseUint(h.Get("X-Cost-Hint"), 10, 32) // only an estimate; 0 if missing or malformed
 	x.req = policy.Request{ID: id, Class: class.Name, Tenant: h.Get("X-Tenant"), Key: h.Get("X-Key"),
-		Hint: time.Duration(hint) * time.Microsecond, Retry: h.Get("X-Retry") == "1"}
-	x.url, x.host, x.key, x.contentType = r.URL, r.Host, h.Get("Idempotency-Key"), h.Get("Content-Type")
-	x.begin()
-	x.came = s.loop.clock.of(x.client.arrived())
+		CostHint: time.Duration(hint) * time.Microsecond, Retry: h.Get("X-Retry") == "1"}
+	x.url, x.host, x.idempotencyKey, x.contentType = r.URL, r.Host, h.Get("Idempotency-Key"), h.Get("Content-Type")
+	x.setUp()
+	x.arrivedAt = s.loop.clock.fromTime(x.client.arrivedAt())
 	return x, 0, ""
 }
 
-// readBody reads a body that is small whole, and of a large one as much as is held; the rest goes on as it comes.
+// readBody reads a small body completely, and of a large one the part that is held; the rest is streamed later.
 func (s *server) readBody(w http.ResponseWriter, r *http.Request, x *clientRequest) (err error) {
 	if x.length == 0 {
 		return nil
 	}
 	var began time.Time
-	if c := clientOf(r); c != nil {
-		began = c.expect(x.length)
+	if c := clientConnOf(r); c != nil {
+		began = c.expectBody(x.length)
 	}
 	budget, hold := s.memory.requests, x.length
 	switch {
 	case x.length < 0:
-		hold = wholeBody + 1 // the last byte tells whether it is large
-	case x.length > wholeBody:
-		budget, hold = s.memory.largeRequests, wholeBody
-		// Held whole, it takes up a server only once all of it has come, and can be sent again.
-		if x.length <= heldBody {
-			if x.reserved = tryReserve(s.memory.held, x.length); x.reserved != nil {
+		hold = maxSmallBody + 1 // the last byte tells whether it is large
+	case x.length > maxSmallBody:
+		budget, hold = s.memory.largeRequests, maxSmallBody
+		// Held completely, it occupies a server only once all of it has arrived, and can be sent again.
+		if x.length <= maxHeldBody {
+			if x.reserved = tryReserve(s.memory.heldRequests, x.length); x.reserved != nil {
 				hold = x.length
 			}
 		}
@@ -101,16 +101,16 @@
 			return err
 		}
 	}
-	var ago time.Duration
+	var elapsed time.Duration
 	if !began.IsZero() {
-		ago = time.Since(began)
+		elapsed = time.Since(began)
 	}
-	up := newUpload(w, x.client, r.Body, ago, s.memory.rate)
+	up := newUpload(w, x.client, r.Body, elapsed, s.memory.bodyRate)
 	x.body = make([]byte, hold)
 	n, err := io.ReadFull(up, x.body)
 	switch x.body = x.body[:n]; {
 	case err == nil && x.length != hold:
-		x.rest = up
+		x.bodyRest = up
 		return nil
 	case err == nil:
 		return nil
@@ -122,25 +122,25 @@
 	return err
 }
 
-// waitForMemory reserves memory for a body, but waits no longer than the client of one that has been written whole: it is owed
-// its final answer whoever holds it. Of a larger body the rest comes only once there is some. Nobody waits beyond the
-// process's end.
+// waitForMemory reserves memory for a body. If all of the body has been sent, it waits no longer than the client does,
+// because such a client must get a final answer, whoever holds the memory. The rest of a larger body arrives only once
+// there is memory for it. Nobody waits beyond the end of the process.
 func (s *server) waitForMemory(r *http.Request, x *clientRequest, budget *semaphore.Weighted, bytes int64) (*reservation, error) {
 	if reserved := tryReserve(budget, bytes); reserved != nil {
 		return reserved, nil
 	}
 	ctx, cancel := context.WithCancelCause(r.Context())
 	defer cancel(nil)
-	look := time.NewTicker(max(time.Millisecond, x.clientWaits-x.margin()-time.Since(x.client.arrived())))
-	defer look.Stop()
+	ticker := time.NewTicker(max(time.Millisecond, x.clientTimeout-x.margin()-time.Since(x.client.arrivedAt())))
+	defer ticker.Stop()
 	go func() {
 		for {
 			select {
-			case <-look.C:
-				if x.length <= wholeBody || x.client.holdsUnread(x.length) {
+			case <-ticker.C:
+				if x.length <= maxSmallBody || x.client.hasUnreadBytes(x.length) {
 					cancel(errNoMemory)
 				}
-			case <-s.ending:
+			case <-s.answerNow:
 				cancel(errNoMemory)
 				return
 			case <-ctx.Done():
@@ -155,18 +155,18 @@
 	return reserved, err
 }
 
-// usableID guards the table of requests and the header it goes on in.
-func usableID(id string) bool {
+// validID limits ids to what may be stored in the table of requests and sent in a header.
+func validID(id string) bool {
 	for i := 0; i < len(id); i++ {
 		if id[i] <= ' ' || id[i] > '~' {
 			return false
 		}
 	}
-	return id != "" && len(id) <= maxID
+	return id != "" && len(id) <= maxIDLength
 }
 
-// bodyProblem is what a client is told whose body could not be read.
-func bodyProblem(err error) (status int, problem string) {
+// bodyErrorStatus returns the status and text for a client whose body could not be read.
+func bodyErrorStatus(err error) (status int, problem string) {
 	switch {
 	case errors.Is(err, errTooLarge):
 		return http.StatusRequestEntityTooLarge, err.Error()
--- a/internal/node/response.go
+++ b/internal/node/response.go
@@ -9,37 +9,37 @@
 	"time"
 )
 
-// answer gives a client its answer. Clients are told as late as can be that the connection ends with it, for
-// they may have been sent away meanwhile.
-func (s *server) answer(w http.ResponseWriter, r *http.Request, x *clientRequest, a answer) {
-	c := clientOf(r)
-	if !c.mayStay(s.life.endsConnections()) || len(r.TransferEncoding) > 0 && !c.seesHeads() {
+// respond writes the response to the client. Whether the connection closes behind it is decided as late as possible,
+// because the process may have begun to close client connections in the meantime.
+func (s *server) respond(w http.ResponseWriter, r *http.Request, x *clientRequest, a answer) {
+	c := clientConnOf(r)
+	if !c.mayStayOpen(s.lifecycle.closesAfterAnswer()) || len(r.TransferEncoding) > 0 && !c.tracksHeads() {
 		w.Header().Set("Connection", "close")
-		c.closes(closedWithReply)
+		c.countClosed(closedWithReply)
 	}
-	defer c.answered()
-	if x.rest != nil && !x.rest.whole() {
+	defer c.markAnswered()
+	if x.bodyRest != nil && !x.bodyRest.isComplete() {
 		w.Header().Set("Connection", "close")
-		defer s.swallow(w, x)
+		defer s.discardRest(w, x)
 	}
 	defer a.reserved.release()
-	if a.more == nil {
-		write(w, a)
+	if a.stream == nil {
+		writeAnswer(w, a)
 		return
 	}
-	if c != nil { // else megabytes wait in the system for a client that reads slowly
+	if c != nil { // otherwise the kernel buffers megabytes for a client that reads slowly
 		_ = c.SetWriteBuffer(streamBuffer)
 	}
-	err := s.pass(w, a)
-	a.more.end(err)
+	err := s.streamResponse(w, a)
+	a.stream.end(err)
 	if err != nil {
-		slog.Info("a large answer was not passed on whole", "id", x.req.ID, "err", err)
-		panic(http.ErrAbortHandler) // so that the client can tell
+		slog.Info("forwarding a large response failed", "id", x.req.ID, "err", err)
+		panic(http.ErrAbortHandler) // the connection breaks, so that the client notices
 	}
 }
 
-// pass hands on a large answer, each piece as it comes.
-func (s *server) pass(w http.ResponseWriter, a answer) error {
+// streamResponse forwards a large response to the client piece by piece as it arrives.
+func (s *server) streamResponse(w http.ResponseWriter, a answer) error {
 	conn := http.NewResponseController(w)
 	piece := s.pieces.Get().(*[pieceSize]byte)
 	defer s.pieces.Put(piece)
@@ -47,8 +47,8 @@
 	if a.contentType != "" {
 		h.Set("Content-Type", a.contentType)
 	}
-	if a.more.length >= 0 {
-		h.Set("Content-Length", strconv.FormatInt(a.more.length, 10))
+	if a.stream.length >= 0 {
+		h.Set("Content-Length", strconv.FormatInt(a.stream.length, 10))
 	}
 	w.WriteHeader(a.status)
 	forward := func(p []byte) error {
@@ -70,7 +70,7 @@
 	}
 	a.reserved.resize(pieceSize)
 	for {
-		n, err := a.more.rest.Read(piece[:])
+		n, err := a.stream.rest.Read(piece[:])
 		if err := forward(piece[:n]); n > 0 && err != nil {
 			return err
 		}
@@ -83,14 +83,14 @@
 	}
 }
 
-// swallow takes in the rest of a large body whose request was answered before it had come, for as long as it
-// comes at a proper pace: many clients read their answer only once all is written, and a close would take it
-// from them.
-func (s *server) swallow(w http.ResponseWriter, x *clientRequest) {
+// discardRest reads and discards the rest of a large request body after an early response, as long as it arrives at an
+// acceptable rate: many clients read the response only after they have written the whole request, and would lose it if
+// the connection were closed before.
+func (s *server) discardRest(w http.ResponseWriter, x *clientRequest) {
 	x.reserved.release()
-	if x.rest.begun.Swap(true) { // an attempt has it
-		x.rest.stop()
-		_ = http.NewResponseController(w).SetReadDeadline(time.Now().Add(lingerFor)) // as in reject
+	if x.bodyRest.forwarded.Swap(true) { // an attempt is reading it
+		x.bodyRest.stop()
+		_ = http.NewResponseController(w).SetReadDeadline(time.Now().Add(lingerTimeout)) // as in reject
 		return
 	}
 	if err := http.NewResponseController(w).Flush(); err != nil {
@@ -99,44 +99,45 @@
 	piece := s.pieces.Get().(*[pieceSize]byte)
 	defer s.pieces.Put(piece)
 	for {
-		if _, err := x.rest.Read(piece[:]); err != nil {
+		if _, err := x.bodyRest.Read(piece[:]); err != nil {
 			return
 		}
 	}
 }
 
-// reject answers a request that is not to be served, and ends its connection: where its body ends is
-// in doubt, and what follows it is not to be trusted.
-func reject(w http.ResponseWriter, c *clientConn, status int, problem string) {
+// reject responds to an invalid request and closes its connection: the end of its body is uncertain, so the bytes that
+// follow can't be trusted.
+func reject(w http.ResponseWriter, c *clientConn, status int, message string) {
 	w.Header().Set("Connection", "close")
-	c.discard()
-	c.closes(closedRejected)
-	// Behind the answer net/http reads what is left of the body, for a close with bytes unread would
-	// reset the connection before the client has read the answer; but neither for long nor all of a large
-	// one, which would cost the others the processor. An error here means that the connection is gone.
-	_ = http.NewResponseController(w).SetReadDeadline(time.Now().Add(lingerFor))
+	c.deliverAll()
+	c.countClosed(closedRejected)
+	// After the response net/http reads the rest of the body, because closing a socket with unread bytes would reset
+	// the connection before the client has read the response. The deadline bounds that: reading all of a large body
+	// would take CPU time from other requests. An error here means that the connection is gone.
+	_ = http.NewResponseController(w).SetReadDeadline(time.Now().Add(lingerTimeout))
 	if status == http.StatusServiceUnavailable {
-		w.Header().Set("Retry-After", retryAfterText(ownRetryAfter))
+		w.Header().Set("Retry-After", formatRetryAfter(nodeRetryAfter))
 	}
-	http.Error(w, problem, status)
+	http.Error(w, message, status)
 }
 
-func write(w http.ResponseWriter, a answer) {
-	// A client that reads nothing must not hold the handler for ever.
+// writeAnswer writes a response whose body is completely in memory.
+func writeAnswer(w http.ResponseWriter, a answer) {
+	// A client that doesn't read must not block the handler forever.
 	_ = http.NewResponseController(w).SetWriteDeadline(time.Now().Add(writeTimeout))
 	h := w.Header()
 	if a.contentType != "" {
 		h.Set("Content-Type", a.contentType)
 	}
 	if a.retryAfter > 0 {
-		h.Set("Retry-After", retryAfterText(a.retryAfter))
+		h.Set("Retry-After", formatRetryAfter(a.retryAfter))
 	}
 	h.Set("Content-Length", strconv.Itoa(len(a.body)))
 	w.WriteHeader(a.status)
-	_, _ = w.Write(a.body) // the client may have left; the request is over either way
+	_, _ = w.Write(a.body) // the client may have left; the request has ended either way
 }
 
-// retryAfterText is the header's value: seconds, whole or decimal (PROTOCOL).
-func retryAfterText(wait time.Duration) string {
+// formatRetryAfter returns a Retry-After value: seconds, integer or decimal (PROTOCOL).
+func formatRetryAfter(wait time.Duration) string {
 	return strconv.FormatFloat(wait.Seconds(), 'f', -1, 64)
 }
--- a/internal/node/rules_test.go
+++ b/internal/node/rules_test.go
@@ -28,7 +28,7 @@
 	})
 	x := testClientRequest(http.MethodPost, "r1", "")
 	x.req.Class = "pay" // never to be repeated
-	x.came = l.clock.now()
+	x.arrivedAt = l.clock.now()
 	l.send(arrival{x})
 	if a := receive(t, "the answer", x.reply); a.status != http.StatusBadGateway {
 		t.Errorf("answered %d, want a failure that promises nothing", a.status)
--- a/internal/node/scale_test.go
+++ b/internal/node/scale_test.go
@@ -28,7 +28,7 @@
 // What many servers and tenants leave to a successor is written and read whole.
 func TestManyServersAreHandedOver(t *testing.T) {
 	l := manyLoop(t, many)
-	l.listed(t.Context(), heardNews{News: discovery.News{Kind: policy.ListReplace, Members: manyMembers(many), Revision: 5}})
+	l.handleList(t.Context(), receivedUpdate{Update: discovery.Update{Kind: policy.ListReplace, Members: manyMembers(many), Revision: 5}})
 	for i := range many {
 		l.module.Handle(l.clock.now(), policy.Request{ID: fmt.Sprint("r", i), Class: "read", Tenant: fmt.Sprint("tenant ", i), ExpiresIn: time.Second})
 	}
@@ -38,12 +38,12 @@
 	}
 	defer h.leave()
 	now := time.Now()
-	left := snapshot{Saved: now, Revision: l.listedAt, Members: slices.Collect(maps.Values(l.members)),
+	left := snapshot{Saved: now, Revision: l.listRevision, Members: slices.Collect(maps.Values(l.members)),
 		Policy: l.module.(*policy.Balancer).Snapshot(l.clock.now())}
-	if err := h.write(left); err != nil {
+	if err := h.writeSnapshot(left); err != nil {
 		t.Fatal(err)
 	}
-	got, err := h.read(h.id, now)
+	got, err := h.readSnapshot(h.id, now)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -60,21 +60,21 @@
 	for i := range next {
 		next[i].Addr, next[i].UpSince = old[many-1-i].Addr, 1
 	}
-	l.up.update(discovery.News{Kind: policy.ListReplace, Members: old})
-	l.up.update(discovery.News{Kind: policy.ListUpdate, Members: next})
+	l.upstream.applyNewestList(discovery.Update{Kind: policy.ListReplace, Members: old})
+	l.upstream.applyNewestList(discovery.Update{Kind: policy.ListUpdate, Members: next})
 	for _, m := range old {
-		if l.up.pools[m.Server] != nil {
+		if l.upstream.pools[m.Server] != nil {
 			t.Fatalf("%s is still at an address that another has", m.Server)
 		}
 	}
 	for _, m := range next {
-		if p := l.up.pools[m.Server]; p == nil || p.addr != m.Addr {
+		if p := l.upstream.pools[m.Server]; p == nil || p.addr != m.Addr {
 			t.Fatalf("%s is not at %s", m.Server, m.Addr)
 		}
 	}
-	l.up.update(discovery.News{Kind: policy.ListUpdate, Members: old}) // late, of those that started before
-	if len(l.up.pools) != many || len(l.up.at) != many {
-		t.Errorf("%d pools at %d addresses, want %d", len(l.up.pools), len(l.up.at), many)
+	l.upstream.applyNewestList(discovery.Update{Kind: policy.ListUpdate, Members: old}) // late, of those that started before
+	if len(l.upstream.pools) != many || len(l.upstream.serverByAddr) != many {
+		t.Errorf("%d pools at %d addresses, want %d", len(l.upstream.pools), len(l.upstream.serverByAddr), many)
 	}
 }
 
@@ -82,9 +82,9 @@
 // all of these.
 func TestOnlyPoolsThatRestAreLookedAt(t *testing.T) {
 	l := manyLoop(t, many)
-	u, list, rng := l.up, manyMembers(many), rand.New(rand.NewPCG(1, 2))
-	u.update(discovery.News{Kind: policy.ListReplace, Members: list})
-	u.most = 40
+	u, list, rng := l.upstream, manyMembers(many), rand.New(rand.NewPCG(1, 2))
+	u.applyNewestList(discovery.Update{Kind: policy.ListReplace, Members: list})
+	u.maxOpen = 40
 	evicted, swept := 0, 0
 	for i := range 5000 {
 		id := list[rng.IntN(len(list))].Server
@@ -95,56 +95,56 @@
 			for j := range list {
 				if list[j].Server == id {
 					list[j].UpSince++
-					u.update(discovery.News{Kind: policy.ListUpdate, Members: list[j : j+1]})
+					u.applyNewestList(discovery.Update{Kind: policy.ListUpdate, Members: list[j : j+1]})
 				}
 			}
 		case 2:
 			if i%10 == 0 {
-				before := u.open
+				before := u.openConns
 				u.sweep(time.Now())
-				swept += before - u.open
+				swept += before - u.openConns
 			}
 		case 3:
-			_, _, _, _ = u.reserve(id)
-			u.open = 0 // as if what it reserved had ended
+			_, _, _, _ = u.reserveConn(id)
+			u.openConns = 0 // as if what it reserved had ended
 			for _, p := range u.pools {
-				u.open += len(p.idle)
+				u.openConns += len(p.idle)
 			}
 		default:
-			if u.open >= u.most {
+			if u.openConns >= u.maxOpen {
 				oldest := time.Now()
 				for _, p := range u.pools {
 					for _, c := range p.idle {
-						if c.used.Before(oldest) {
-							oldest = c.used
+						if c.lastUsed.Before(oldest) {
+							oldest = c.lastUsed
 						}
 					}
 				}
-				before := u.open
-				if !u.evict() || u.open != before-1 {
+				before := u.openConns
+				if !u.evict() || u.openConns != before-1 {
 					t.Fatal("nothing was evicted")
 				}
-				for _, p := range u.rests {
-					if !p.idle[0].used.After(oldest) {
+				for _, p := range u.idlePools {
+					if !p.idle[0].lastUsed.After(oldest) {
 						t.Fatal("another one than the oldest was evicted")
 					}
 				}
 				evicted++
 			}
-			u.count(1)
-			u.release(&conn{TCPConn: new(net.TCPConn), pool: p}, id, true)
+			u.addOpen(1)
+			u.release(&serverConn{TCPConn: new(net.TCPConn), pool: p}, id, true)
 		}
 		resting := 0
 		for _, p := range u.pools {
 			if len(p.idle) > 0 {
 				resting++
-				if p.restsAt == 0 || u.rests[p.restsAt-1] != p {
+				if p.heapPosition == 0 || u.idlePools[p.heapPosition-1] != p {
 					t.Fatalf("step %d: a pool that rests is not looked at", i)
 				}
 			}
 		}
-		if len(u.rests) != resting {
-			t.Fatalf("step %d: %d pools are looked at, %d rest", i, len(u.rests), resting)
+		if len(u.idlePools) != resting {
+			t.Fatalf("step %d: %d pools are looked at, %d rest", i, len(u.idlePools), resting)
 		}
 	}
 	if evicted < 100 || swept < 100 {
@@ -154,9 +154,9 @@
 
 func BenchmarkSweep(b *testing.B) {
 	l := manyLoop(b, 2500)
-	l.up.update(discovery.News{Kind: policy.ListReplace, Members: manyMembers(39_000)})
+	l.upstream.applyNewestList(discovery.Update{Kind: policy.ListReplace, Members: manyMembers(39_000)})
 	for b.Loop() {
-		l.up.sweep(time.Now())
+		l.upstream.sweep(time.Now())
 	}
 }
 
@@ -164,23 +164,23 @@
 	for _, n := range []int{many / 4, many} {
 		b.Run(fmt.Sprint("replace ", n), func(b *testing.B) {
 			l := manyLoop(b, n)
-			lists := [2]discovery.News{{Kind: policy.ListReplace, Members: manyMembers(n)}, {Kind: policy.ListReplace, Members: manyMembers(2 * n)[n:]}}
+			lists := [2]discovery.Update{{Kind: policy.ListReplace, Members: manyMembers(n)}, {Kind: policy.ListReplace, Members: manyMembers(2 * n)[n:]}}
 			for i := 0; b.Loop(); i++ {
-				l.listed(b.Context(), heardNews{News: lists[i%2]})
+				l.handleList(b.Context(), receivedUpdate{Update: lists[i%2]})
 			}
 		})
 		b.Run(fmt.Sprint("one drains ", n), func(b *testing.B) {
 			l := manyLoop(b, n)
-			l.listed(b.Context(), heardNews{News: discovery.News{Kind: policy.ListReplace, Members: manyMembers(n)}})
+			l.handleList(b.Context(), receivedUpdate{Update: discovery.Update{Kind: policy.ListReplace, Members: manyMembers(n)}})
 			for i := 0; b.Loop(); i++ {
 				m := manyMembers(1)
 				m[0].Availability = policy.Availability(i % 2)
-				l.listed(b.Context(), heardNews{News: discovery.News{Kind: policy.ListUpdate, Members: m}})
+				l.handleList(b.Context(), receivedUpdate{Update: discovery.Update{Kind: policy.ListUpdate, Members: m}})
 			}
 		})
 		b.Run(fmt.Sprint("word to a successor ", n), func(b *testing.B) {
 			l := manyLoop(b, n)
-			l.listed(b.Context(), heardNews{News: discovery.News{Kind: policy.ListReplace, Members: manyMembers(n)}})
+			l.handleList(b.Context(), receivedUpdate{Update: discovery.Update{Kind: policy.ListReplace, Members: manyMembers(n)}})
 			for b.Loop() {
 				left := snapshot{Members: manyMembers(n), Policy: l.module.(*policy.Balancer).Snapshot(l.clock.now())}
 				raw, err := encodeSnapshot(left)
@@ -192,7 +192,7 @@
 		})
 		b.Run(fmt.Sprint("request ", n), func(b *testing.B) {
 			l := manyLoop(b, n)
-			l.listed(b.Context(), heardNews{News: discovery.News{Kind: policy.ListReplace, Members: manyMembers(n)}})
+			l.handleList(b.Context(), receivedUpdate{Update: discovery.Update{Kind: policy.ListReplace, Members: manyMembers(n)}})
 			for i := 0; b.Loop(); i++ {
 				id := fmt.Sprint("r", i)
 				now := l.clock.now()
--- a/internal/node/server.go
+++ b/internal/node/server.go
@@ -12,72 +12,72 @@
 )
 
 const (
-	maxID          = 128 // bytes; the protocol's own ids are far shorter
-	maxDeadlineMs  = 3_600_000
-	maxHeader      = 16 << 10
-	headerTimeout  = 2500 * time.Millisecond // for a request's head, and the same again for its body
-	clientIdle     = 15 * time.Second        // without a request; under pressure it is less
-	writeTimeout   = 5 * time.Second         // for an answer to a client that doesn't read
-	closeIdleAfter = 200 * time.Millisecond  // without a request, until a client that is sent away is closed
-	freshFor       = 50 * time.Millisecond   // without a request, for which a connection is held to bring one
-	streamBuffer   = 64 << 10                // bytes that the system holds of a large answer for a client
-	lingerFor      = 500 * time.Millisecond  // for the body of a request that was refused unread, or what is behind it
-	lingerBytes    = 256 << 10               // of that
-	mostKept       = 8                       // requests behind one another on a connection that is to end
-	hidingBytes    = 32 << 10                // unread bytes behind a full read-ahead buffer, among which a client's end has no room
-	aheadMost      = 64 << 10                // bytes behind a request in hand that are read to see whether its client is there
-	readyPath      = "/health/ready"
+	maxIDLength       = 128 // bytes; the ids of the protocol are far shorter
+	maxDeadlineMs     = 3_600_000
+	maxHeaderBytes    = 16 << 10
+	headerTimeout     = 2500 * time.Millisecond // for a request's head; its body has as long again
+	clientIdleTimeout = 15 * time.Second        // without a request; less under pressure
+	writeTimeout      = 5 * time.Second         // for a response to a client that doesn't read
+	closeIdleAfter    = 200 * time.Millisecond  // without a request, before a client's connection is closed while draining
+	freshConnPeriod   = 50 * time.Millisecond   // without a request, in which a connection is expected to send one
+	streamBuffer      = 64 << 10                // bytes of a large response that the kernel buffers for a client
+	lingerTimeout     = 500 * time.Millisecond  // for the body of a request refused unread, or what follows it
+	maxLingerBytes    = 256 << 10               // discarded within that time
+	maxKeptForUnread  = 8                       // pipelined requests on a connection that is to be closed
+	minHidingBytes    = 32 << 10                // unread behind a full read-ahead buffer, so that a FIN may not fit
+	maxReadAhead      = 64 << 10                // bytes behind a request in flight that are read to detect a disconnect
+	readyPath         = "/health/ready"
 )
 
-// server takes requests from clients, hands them to the loop, and writes the loop's answers.
+// server accepts requests from clients, passes them to the loop, and writes the loop's answers.
 type server struct {
-	loop    *loop
-	classes map[string]policy.Class
-	life    lifecycle
-	memory  *memoryBudget
-	pieces  sync.Pool // of *[pieceSize]byte
-	http    http.Server
-	ending  chan struct{} // closed when what is still open is answered at once, whatever the loop does
+	loop      *loop
+	classes   map[string]policy.Class
+	lifecycle lifecycle
+	memory    *memoryBudget
+	pieces    sync.Pool // of *[pieceSize]byte
+	http      http.Server
+	answerNow chan struct{} // closed when open requests are to be answered at once, without waiting for the loop
 }
 
 func newServer(c Config, l *loop) *server {
-	s := &server{loop: l, classes: make(map[string]policy.Class), memory: l.up.memory, ending: make(chan struct{}),
+	s := &server{loop: l, classes: make(map[string]policy.Class), memory: l.upstream.memory, answerNow: make(chan struct{}),
 		pieces: sync.Pool{New: func() any { return new([pieceSize]byte) }}}
 	for _, class := range c.Settings.Classes {
 		s.classes[class.Name] = class
 	}
 	s.http = http.Server{
-		Handler: s, MaxHeaderBytes: maxHeader, ReadHeaderTimeout: headerTimeout, IdleTimeout: -1, // clients.closeExpired sees to it
+		Handler: s, MaxHeaderBytes: maxHeaderBytes, ReadHeaderTimeout: headerTimeout, IdleTimeout: -1, // see clientListener.closeExpired
 
 		DisableGeneralOptionsHandler: true,
 		ConnContext: func(ctx context.Context, c net.Conn) context.Context {
-			return context.WithValue(ctx, clientKey{}, c)
+			return context.WithValue(ctx, clientConnKey{}, c)
 		},
 		ConnState: func(c net.Conn, state http.ConnState) {
 			if c, ok := c.(*clientConn); ok {
-				c.change(state)
+				c.stateChanged(state)
 			}
 		},
 	}
 	return s
 }
 
-// clientKey is under which a request's context holds its connection.
-type clientKey struct{}
+// clientConnKey is the key of the connection in a request's context.
+type clientConnKey struct{}
 
-// clientOf is the connection that a request came on; nil where others accepted it.
-func clientOf(r *http.Request) *clientConn {
-	c, _ := r.Context().Value(clientKey{}).(*clientConn)
+// clientConnOf returns the connection that a request came on; nil if accepted by another listener.
+func clientConnOf(r *http.Request) *clientConn {
+	c, _ := r.Context().Value(clientConnKey{}).(*clientConn)
 	return c
 }
 
 func (s *server) ServeHTTP(w http.ResponseWriter, r *http.Request) {
-	c := clientOf(r)
+	c := clientConnOf(r)
 	switch {
-	case !r.ProtoAtLeast(1, 1): // net/http ignores a transfer coding there
+	case !r.ProtoAtLeast(1, 1): // net/http ignores Transfer-Encoding there
 		reject(w, c, http.StatusBadRequest, "want version 1.1")
 		return
-	case c == nil && len(r.TransferEncoding) > 0: // nobody saw the head that net/http read
+	case c == nil && len(r.TransferEncoding) > 0: // no headScanner has seen the head that net/http read
 		reject(w, c, http.StatusBadRequest, "want Content-Length for a body")
 		return
 	case c != nil:
@@ -86,99 +86,99 @@
 			return
 		}
 	}
-	if r.ContentLength != 0 { // so that an answer needn't wait for a body that nobody wants
-		_ = http.NewResponseController(w).EnableFullDuplex() // fails only where others than net/http serve
+	if r.ContentLength != 0 { // so that a response needn't wait for an unwanted body
+		_ = http.NewResponseController(w).EnableFullDuplex() // fails only with servers other than net/http
 	}
 	if r.URL.Path == readyPath && r.Method == http.MethodGet {
-		if r.ContentLength != 0 { // net/http would wait for it, with no end
+		if r.ContentLength != 0 { // net/http would wait for it without a limit
 			reject(w, c, http.StatusBadRequest, "no body is wanted here")
 			return
 		}
-		s.health(w)
+		s.writeReadiness(w)
 		return
 	}
-	x, status, problem := s.read(w, r)
+	x, status, problem := s.readRequest(w, r)
 	if x == nil {
 		reject(w, c, status, problem)
 		return
 	}
-	defer x.leave()
+	defer x.cancel()
 	defer x.reserved.release()
-	if s.loop.shedder.refuses(time.Now(), s.loop.events.oldestArrival()) {
-		s.loop.shedder.atArrival.Add(1)
-		s.loop.metrics.countShed(shedAtArrival)
-		s.answer(w, r, x, ownRefusal())
+	if s.loop.shedder.shouldRefuse(time.Now(), s.loop.events.oldestArrival()) {
+		s.loop.shedder.refusedAtArrival.Add(1)
+		s.loop.metrics.countShed(reasonLoopLagAtArrival)
+		s.respond(w, r, x, nodeRefusal())
 		return
 	}
-	if x.rest == nil { // while it was read, or waited for room or for its turn
+	if x.bodyRest == nil { // it may have left while the body was read, or while it waited for memory or its turn
 		switch c.presence() {
-		case departed:
-			x.client.closes(closedByClient)
+		case clientDeparted:
+			x.client.countClosed(closedByClient)
 			panic(http.ErrAbortHandler)
-		case hidden:
+		case presenceUnknown:
 			s.loop.monitor.Deny(invariant.AttemptAfterDeparture)
-			s.answer(w, r, x, ownRefusal())
+			s.respond(w, r, x, nodeRefusal())
 			return
 		}
 	}
-	var broken <-chan struct{}
-	if x.rest != nil {
-		broken = x.rest.left
+	var bodyFailed <-chan struct{}
+	if x.bodyRest != nil {
+		bodyFailed = x.bodyRest.failed
 	}
-	x.late = time.NewTimer(time.Until(x.answerBy(s.loop.clock)))
-	defer x.late.Stop()
-	if x.rest != nil { // until its body has gone on
-		x.late.Reset(time.Until(x.answerBy(s.loop.clock)) + longestUpload)
+	x.handlerTimer = time.NewTimer(time.Until(x.handlerDeadline(s.loop.clock)))
+	defer x.handlerTimer.Stop()
+	if x.bodyRest != nil { // until its body has been forwarded
+		x.handlerTimer.Reset(time.Until(x.handlerDeadline(s.loop.clock)) + maxUploadTime)
 	}
 	s.loop.send(arrival{x})
 	select {
 	case a := <-x.reply:
-		s.answer(w, r, x, a)
-	case <-x.late.C:
-		s.answerLate(w, r, x)
-	case <-s.ending:
-		s.answerLate(w, r, x)
+		s.respond(w, r, x, a)
+	case <-x.handlerTimer.C:
+		s.answerByHandler(w, r, x)
+	case <-s.answerNow:
+		s.answerByHandler(w, r, x)
 	case <-r.Context().Done():
-		s.depart(x)
-		x.client.closes(closedByClient)
-		panic(http.ErrAbortHandler) // else one who only ended its sending would be told 200
-	case <-broken:
-		s.depart(x)
-		status, problem := bodyProblem(x.rest.failure())
+		s.reportDeparture(x)
+		x.client.countClosed(closedByClient)
+		panic(http.ErrAbortHandler) // otherwise a client that only closed its sending side would get a 200
+	case <-bodyFailed:
+		s.reportDeparture(x)
+		status, problem := bodyErrorStatus(x.bodyRest.failure())
 		reject(w, c, status, problem)
 	case <-s.loop.done:
 		w.WriteHeader(http.StatusBadGateway)
 	}
 }
 
-// answerLate answers a request for which the loop has said nothing in its time, or by the process's end.
-func (s *server) answerLate(w http.ResponseWriter, r *http.Request, x *clientRequest) {
+// answerByHandler answers a request that the loop has not answered in time, or before the end of the process.
+func (s *server) answerByHandler(w http.ResponseWriter, r *http.Request, x *clientRequest) {
 	if !x.claimByHandler() {
-		s.answer(w, r, x, <-x.reply) // it does so just now
+		s.respond(w, r, x, <-x.reply) // the loop is answering at this moment
 		return
 	}
-	x.leave()
+	x.cancel()
 	s.loop.send(departure{x})
-	s.answer(w, r, x, x.handlersAnswer())
+	s.respond(w, r, x, x.handlerAnswer())
 }
 
-// depart tells the loop that a request's client has left, and drops an answer that came just then. It doesn't wait for the
-// loop to take that up, which may be late: no attempt begins any more.
-func (s *server) depart(x *clientRequest) {
-	x.leave()
-	left := x.claim(clientLeft)
+// reportDeparture tells the loop that the request's client has left, and drops an answer that was given at the same moment.
+// It doesn't wait for the loop to handle the event, which may be late: no attempt begins from here on.
+func (s *server) reportDeparture(x *clientRequest) {
+	x.cancel()
+	claimed := x.claim(clientLeft)
 	s.loop.send(departure{x})
-	if !left { // the loop answers just now
-		(<-x.reply).drop()
+	if !claimed { // the loop is answering at this moment
+		(<-x.reply).discard()
 	}
 }
 
-// health tells the front whether the node may be taken in.
-func (s *server) health(w http.ResponseWriter) {
-	if s.life.endsConnections() {
+// writeReadiness tells the front whether the node may receive clients.
+func (s *server) writeReadiness(w http.ResponseWriter) {
+	if s.lifecycle.closesAfterAnswer() {
 		w.Header().Set("Connection", "close")
 	}
-	if !s.life.ready() {
+	if !s.lifecycle.ready() {
 		w.WriteHeader(http.StatusServiceUnavailable)
 	}
 }
--- a/internal/node/server_test.go
+++ b/internal/node/server_test.go
@@ -44,7 +44,7 @@
 	var reached atomic.Int32
 	addr := httpServer(t, func(http.ResponseWriter, *http.Request) { reached.Add(1) })
 	node, _ := startNode(t, testConfig(t, knownList(addr)))
-	big := strings.Repeat("x", maxID+1)
+	big := strings.Repeat("x", maxIDLength+1)
 	for name, c := range map[string]struct {
 		method, class, body string
 		headers             []string
@@ -78,7 +78,7 @@
 	}
 	defer c.Close()
 	_, _ = fmt.Fprintf(c, "POST /api HTTP/1.1\r\nHost: a\r\nX-Request-Id: r1\r\nX-Class: pay\r\nX-Tenant: t\r\n"+
-		"X-Deadline-Ms: 8000\r\nContent-Length: %d\r\n\r\n", maxBody+1) // refused before a byte of it is sent
+		"X-Deadline-Ms: 8000\r\nContent-Length: %d\r\n\r\n", maxBodySize+1) // refused before a byte of it is sent
 	if resp, err := http.ReadResponse(bufio.NewReader(c), nil); err != nil || resp.StatusCode != http.StatusRequestEntityTooLarge {
 		t.Errorf("too large: %v, %v", resp, err)
 	}
@@ -139,7 +139,7 @@
 		switch e := ev.(type) {
 		case policy.Request:
 			return sends(e.ID, 1)
-		case policy.Lapsed:
+		case policy.ClientGone:
 			return []policy.Action{{Kind: policy.Cancel, ID: e.ID}}
 		}
 		return nil
@@ -171,7 +171,7 @@
 		}
 	})
 	c := testConfig(t, knownList(addr))
-	c.Sockets = leastSockets
+	c.Sockets = minSockets
 	node, _ := startNode(t, c)
 	slow := make(chan int, 1)
 	go func() {
@@ -184,7 +184,7 @@
 		slow <- resp.StatusCode
 	}()
 	receive(t, "the slow request", held)
-	most := int(clientsPart * (leastSockets - ownSockets))
+	most := int(clientSocketFraction * (minSockets - reservedSockets))
 	var silent []net.Conn
 	defer func() {
 		for _, c := range silent {
@@ -257,14 +257,14 @@
 	l, _ := startLoop(t, addr, sendEach)
 	s := newServer(testConfig(t, knownList(addr)), l)
 	node := httpServer(t, s.ServeHTTP)
-	s.life.load()
-	defer s.life.end()
+	s.lifecycle.markServersKnown()
+	defer s.lifecycle.stopDraining()
 	for _, phase := range []phase{active, leaving, closing} {
 		switch phase {
 		case leaving:
-			s.life.leave(long)
+			s.lifecycle.beginLeaving(long)
 		case closing:
-			s.life.close()
+			s.lifecycle.beginClosing()
 		}
 		req := newRequest(t, node, "GET", "read", fmt.Sprint("r", int(phase)), "")
 		resp, err := http.DefaultClient.Do(req)
--- a/internal/node/shared.go
+++ b/internal/node/shared.go
@@ -10,29 +10,29 @@
 	"cobaltward/internal/discovery"
 )
 
-// shared is what the two processes of a node divide while there are two: each works within its own part, so
-// that together they stay within the node's limits.
-type shared struct {
+// sharedLimits divides the node's limits between its two processes during a handover: each keeps to its own share, so
+// that together they stay within the limits.
+type sharedLimits struct {
 	*handover
-	loop    *loop
-	life    *lifecycle
-	clients *clients
-	up      *upstream
+	loop      *loop
+	lifecycle *lifecycle
+	clients   *clientListener
+	upstream  *upstream
 
-	clientSockets, serverSockets int // of a process that is alone
-	ownSockets                   int // what each needs for itself
+	clientSockets, serverSockets int // limits of a process that runs alone
+	reservedSockets              int // descriptors that each process needs for itself
 
-	heard     int64 // the revision of its list that was last taken over
-	halved    bool
-	wrote     time.Time
-	writeTook time.Duration // the last snapshot, with its way to the file
-	failing   bool          // the last write did
+	predecessorRevision int64 // list revision last taken over from the predecessor
+	heapHalved          bool
+	lastWrite           time.Time
+	writeDuration       time.Duration // time to collect and write the last snapshot
+	writeFailing        bool          // the last write failed
 }
 
-// joinLater enters the folder once it works again, and shares the limits from then on. Until then the process holds to
-// those of one that is alone.
-func (s *shared) joinLater(ctx context.Context, dir string, joined *atomic.Pointer[handover]) {
-	tick := time.NewTicker(snapshotEvery)
+// joinLater retries joining the handover folder, and shares the limits once that succeeds. Until then the process uses
+// the limits of one that runs alone.
+func (s *sharedLimits) joinLater(ctx context.Context, dir string, joined *atomic.Pointer[handover]) {
+	tick := time.NewTicker(snapshotInterval)
 	defer tick.Stop()
 	for {
 		select {
@@ -45,18 +45,18 @@
 			continue
 		}
 		defer h.leave()
-		slog.Info("handover: joined late", "before", h.before)
+		slog.Info("handover: joined late", "before", h.predecessor)
 		s.handover = h
 		joined.Store(h)
-		s.life.follow(h.noteStandby)
+		s.lifecycle.setStandbyRecorder(h.recordStandby)
 		s.run(ctx)
 		return
 	}
 }
 
-// run keeps to the limits, and leaves word for a successor, until ctx ends.
-func (s *shared) run(ctx context.Context) {
-	tick := time.NewTicker(followEvery)
+// run adjusts the limits and writes snapshots for a successor until ctx ends.
+func (s *sharedLimits) run(ctx context.Context) {
+	tick := time.NewTicker(followInterval)
 	defer tick.Stop()
 	for {
 		s.step(time.Now())
@@ -68,80 +68,82 @@
 	}
 }
 
-func (s *shared) step(now time.Time) {
-	next, before := s.succeeded(), s.beforeLives()
-	s.noteAgain()
-	s.halve(before || next)
+// step looks for the other process, sets the limits accordingly, and writes a snapshot when one is due.
+func (s *sharedLimits) step(now time.Time) {
+	hasSuccessor, hasPredecessor := s.hasSuccessor(), s.predecessorAlive()
+	s.retryStandby()
+	s.halveHeap(hasPredecessor || hasSuccessor)
 	switch {
-	case before:
-		old, err := s.read(s.before, now)
-		if err != nil { // its word counts once it has one
-			old.Clients, old.Servers = s.clientSockets/2, s.serverSockets/2
-		} else if old.Revision != s.heard { // what it was told, this node was told
-			s.heard = old.Revision
-			s.loop.send(restoredSnapshot{discovery.List{Revision: old.Revision, Complete: true, Members: old.Members}})
+	case hasPredecessor:
+		predecessor, err := s.readSnapshot(s.predecessor, now)
+		if err != nil { // assume half until its snapshot can be read
+			predecessor.Clients, predecessor.Servers = s.clientSockets/2, s.serverSockets/2
+		} else if predecessor.Revision != s.predecessorRevision { // apply the list that the predecessor received
+			s.predecessorRevision = predecessor.Revision
+			s.loop.send(predecessorList{discovery.List{Revision: predecessor.Revision, Complete: true, Members: predecessor.Members}})
 		}
-		s.clients.bound(max(leastOfEach, s.clientSockets-old.Clients-s.ownSockets/2))
-		s.up.bound(max(leastOfEach, s.serverSockets-old.Servers-s.ownSockets/2))
-	case next:
-		s.giveWay()
+		s.clients.setBaseLimit(max(minConnsPerSide, s.clientSockets-predecessor.Clients-s.reservedSockets/2))
+		s.upstream.setMaxOpen(max(minConnsPerSide, s.serverSockets-predecessor.Servers-s.reservedSockets/2))
+	case hasSuccessor:
+		s.limitPredecessor()
 	default:
-		s.clients.bound(s.clientSockets)
-		s.up.bound(s.serverSockets)
+		s.clients.setBaseLimit(s.clientSockets)
+		s.upstream.setMaxOpen(s.serverSockets)
 	}
-	if next || now.Sub(s.wrote) >= s.writeAfter() {
-		s.wrote = now
-		defer func() { s.writeTook = time.Since(now) }()
-		if err := s.write(s.snapshot(now)); err != nil {
-			if !s.failing {
-				slog.Warn("handover: nothing is left to a successor", "err", err)
+	if hasSuccessor || now.Sub(s.lastWrite) >= s.writeInterval() {
+		s.lastWrite = now
+		defer func() { s.writeDuration = time.Since(now) }()
+		if err := s.writeSnapshot(s.snapshot(now)); err != nil {
+			if !s.writeFailing {
+				slog.Warn("handover: writing the snapshot for a successor failed", "err", err)
 			}
-			s.failing = true
+			s.writeFailing = true
 		} else {
-			s.failing = false
+			s.writeFailing = false
 		}
 	}
 }
 
-// writeAfter is how long after a snapshot the next one is written: the more servers and tenants there are, the longer one takes, and
-// all together may take a small part of the time. A snapshot is of use for snapshotFor.
-func (s *shared) writeAfter() time.Duration {
-	return min(snapshotFor/2, max(snapshotEvery, snapshotApart*s.writeTook))
+// writeInterval returns the time between two snapshots. With many servers and tenants a snapshot takes long, so the interval
+// grows with that time and snapshots use only a small share of the CPU. A snapshot expires after maxSnapshotAge.
+func (s *sharedLimits) writeInterval() time.Duration {
+	return min(maxSnapshotAge/2, max(snapshotInterval, snapshotCostFactor*s.writeDuration))
 }
 
-// giveWay keeps an old process to what it has open: to half until it is told to end, and from then on
-// to what its clients still need.
-func (s *shared) giveWay() {
+// limitPredecessor sets the limits of a process that has a successor: to half each until it is told to end, then to
+// none, but never below its open client connections and the server connections that these need.
+func (s *sharedLimits) limitPredecessor() {
 	clients, servers := s.clientSockets/2, s.serverSockets/2
-	if s.life.phase() == closing {
+	if s.lifecycle.phase() == closing {
 		clients, servers = 0, 0
 	}
-	open := s.clients.left()
-	s.clients.bound(max(clients, open))
-	s.up.bound(max(servers, open+leastOfEach))
+	open := s.clients.openCount()
+	s.clients.setBaseLimit(max(clients, open))
+	s.upstream.setMaxOpen(max(servers, open+minConnsPerSide))
 }
 
-// halve divides the heap while there are two processes.
-func (s *shared) halve(two bool) {
-	if two == s.halved {
+// halveHeap halves the heap limit while there are two processes, and tells the loop how many there are.
+func (s *sharedLimits) halveHeap(twoProcesses bool) {
+	if twoProcesses == s.heapHalved {
 		return
 	}
-	s.halved = two
+	s.heapHalved = twoProcesses
 	limit, n := debug.SetMemoryLimit(-1), 1
-	if two {
+	if twoProcesses {
 		limit /= 2
 		n = 2
 	} else {
 		limit *= 2
 	}
-	s.loop.send(processes(n))
+	s.loop.send(processCount(n))
 	debug.SetMemoryLimit(limit)
-	slog.Info("handover", "two_processes", two, "heap_limit", limit)
+	slog.Info("handover", "two_processes", twoProcesses, "heap_limit", limit)
 }
 
-func (s *shared) snapshot(now time.Time) snapshot {
-	l := s.loop.snapshot()
-	l.Saved, l.Standby = now, s.life.phase() == standby
-	l.Clients, l.Servers = s.clients.bounded(), s.up.bounded()
-	return l
+// snapshot returns what a successor takes over.
+func (s *sharedLimits) snapshot(now time.Time) snapshot {
+	state := s.loop.snapshot()
+	state.Saved, state.Standby = now, s.lifecycle.phase() == standby
+	state.Clients, state.Servers = s.clients.currentBaseLimit(), s.upstream.openLimit()
+	return state
 }
--- a/internal/node/snapshot.go
+++ b/internal/node/snapshot.go
@@ -15,23 +15,23 @@
 	"cobaltward/policy"
 )
 
-// snapshot is what a process leaves to its successor.
+// snapshot is the state that a process leaves to its successor.
 type snapshot struct {
 	Saved time.Time
-	// Monotonic is the same on the machine's monotonic clock, in nanoseconds, for its wall clock may be stepped meanwhile;
-	// 0 where an older version wrote it.
+	// Monotonic is the time of Saved on the machine's monotonic clock, in nanoseconds, since the wall clock may be stepped
+	// in between; 0 if written by an older version.
 	Monotonic int64
 	Standby   bool
 	Revision  int64
 	Members   []discovery.Member
 	Policy    policy.Memory
-	// Connections that the process may have open yet, for the two are held to one node's descriptors.
+	// Connections that the process may still have open, since both processes together must keep to one node's descriptors.
 	Clients, Servers int
 }
 
-// encodeSnapshot writes one line with the version and a checksum, and the rest as JSON.
-func encodeSnapshot(l snapshot) ([]byte, error) {
-	raw, err := json.Marshal(l)
+// encodeSnapshot writes a line with the version and a checksum, followed by the snapshot as JSON.
+func encodeSnapshot(s snapshot) ([]byte, error) {
+	raw, err := json.Marshal(s)
 	if err != nil {
 		return nil, err
 	}
@@ -44,38 +44,38 @@
 func decodeSnapshot(raw []byte, now time.Time) (snapshot, error) {
 	head, raw, _ := bytes.Cut(raw, []byte("\n"))
 	if want := fmt.Sprintf("wayhold %d %08x", handoverVersion, checksum(raw)); string(head) != want {
-		return snapshot{}, fmt.Errorf("begins with %.40q, want %q", head, want)
+		return snapshot{}, fmt.Errorf("snapshot header %.40q, want %q", head, want)
 	}
-	var l snapshot
-	if err := json.Unmarshal(raw, &l); err != nil {
+	var s snapshot
+	if err := json.Unmarshal(raw, &s); err != nil {
 		return snapshot{}, err
 	}
-	age := now.Sub(l.Saved)
-	if l.Monotonic != 0 {
-		age = time.Duration(monotonic() - l.Monotonic)
+	age := now.Sub(s.Saved)
+	if s.Monotonic != 0 {
+		age = time.Duration(monotonicNanos() - s.Monotonic)
 	}
-	if age > snapshotFor || age < -snapshotFor {
-		return snapshot{}, fmt.Errorf("written %v ago", age)
+	if age > maxSnapshotAge || age < -maxSnapshotAge {
+		return snapshot{}, fmt.Errorf("snapshot was written %v ago", age)
 	}
-	if l.Monotonic != 0 {
-		l.Saved = now.Add(-age)
+	if s.Monotonic != 0 {
+		s.Saved = now.Add(-age)
 	}
-	for i, m := range l.Members {
+	for i, m := range s.Members {
 		if m.Server == "" || m.Availability > policy.Removed || m.UpSince < 0 || m.UpSince >= 1<<53 {
-			return snapshot{}, fmt.Errorf("members[%d] makes no sense", i)
+			return snapshot{}, fmt.Errorf("members[%d]: invalid server, availability or start time", i)
 		}
 		if err := field.CheckAddress(m.Addr); err != nil {
 			return snapshot{}, fmt.Errorf("members[%d]: %w", i, err)
 		}
 	}
-	if l.Clients < 0 || l.Servers < 0 {
-		return snapshot{}, errors.New("connections below 0")
+	if s.Clients < 0 || s.Servers < 0 {
+		return snapshot{}, errors.New("negative number of connections")
 	}
-	return l, nil
+	return s, nil
 }
 
-// monotonic is the machine's monotonic clock in nanoseconds, which all its processes share; 0 where it can't be read.
-func monotonic() int64 {
+// monotonicNanos returns the machine's monotonic clock, which all processes share, in nanoseconds; 0 if it can't be read.
+func monotonicNanos() int64 {
 	var t unix.Timespec
 	if err := unix.ClockGettime(unix.CLOCK_MONOTONIC, &t); err != nil {
 		return 0
--- a/internal/node/socket.go
+++ b/internal/node/socket.go
@@ -15,24 +15,25 @@
 	"cobaltward/internal/syserr"
 )
 
-// States of a TCP connection (tcp_states.h) in which the time of its last data can be told.
+// TCP states (tcp_states.h) in which TCP_INFO has the time of the last data.
 const (
 	tcpEstablished = 1
 	tcpCloseWait   = 8
 )
 
-// longestDataAge is the most that is believed of the time since a connection's last data.
-const longestDataAge = 10 * time.Second
+// maxDataAge is the longest time since a connection's last data that is considered plausible.
+const maxDataAge = 10 * time.Second
 
-// A read or a write that failed by what the system lacks is tried again after ioPause, a write for ioAgainFor in all.
+// Reads and writes that fail for a temporary lack of system resources are retried after ioRetryPause, writes for up to
+// ioRetryTimeout in total.
 const (
-	ioPause    = time.Millisecond
-	ioAgainFor = 100 * time.Millisecond
+	ioRetryPause   = time.Millisecond
+	ioRetryTimeout = 100 * time.Millisecond
 )
 
-// writePatiently writes all of p, and goes on where it stood after errors that pass.
-func writePatiently(c net.Conn, p []byte) (n int, err error) {
-	err = syserr.Retry(context.Background(), ioAgainFor, syserr.Backoff{First: ioPause, Most: ioPause}, func() error {
+// writeWithRetry writes all of p, and continues where it stopped after temporary errors.
+func writeWithRetry(c net.Conn, p []byte) (n int, err error) {
+	err = syserr.Retry(context.Background(), ioRetryTimeout, syserr.Backoff{Initial: ioRetryPause, Max: ioRetryPause}, func() error {
 		if err := faultpoint.Fail(faultpoint.Write); err != nil {
 			return err
 		}
@@ -43,13 +44,13 @@
 	return n, err
 }
 
-// readSocket takes what has come: syscall.EAGAIN stands for nothing, and io.EOF for the peer's end.
+// readSocket reads what has arrived. It returns syscall.EAGAIN if there is nothing, and io.EOF at the peer's end.
 func readSocket(fd int, p []byte) (n int, err error) {
 	for {
 		if err := faultpoint.Fail(faultpoint.Read); err != nil {
 			return 0, err
 		}
-		n, err = syscall.Read(fd, p[:faultpoint.Shorten(len(p))])
+		n, err = syscall.Read(fd, p[:faultpoint.ShortenRead(len(p))])
 		switch {
 		case err == syscall.EINTR:
 		case err == syscall.EAGAIN:
@@ -64,7 +65,7 @@
 	}
 }
 
-// peekSocket looks at what has come, and leaves it there: syscall.EAGAIN stands for nothing.
+// peekSocket checks for data without consuming it. It returns syscall.EAGAIN if there is none.
 func peekSocket(fd int) (n int, err error) {
 	var b [1]byte
 	for {
@@ -75,8 +76,8 @@
 	}
 }
 
-// peek looks at what a connection has brought. It doesn't wait for whoever is reading.
-func peek(c *net.TCPConn) (n int, err error) {
+// peekConn checks a connection for data without consuming it. It doesn't wait for a concurrent reader.
+func peekConn(c *net.TCPConn) (n int, err error) {
 	raw, err := c.SyscallConn()
 	if err != nil {
 		return 0, err
@@ -87,20 +88,20 @@
 	return n, err
 }
 
-// isIdle tells whether a connection is open and has brought nothing that is still to be read.
+// isIdle reports whether a connection is open and has no unread data.
 func isIdle(c *net.TCPConn) bool {
-	_, err := peek(c)
+	_, err := peekConn(c)
 	return err == syscall.EAGAIN
 }
 
-// unread tells whether a connection has brought something that is still to be read.
-func unread(c *net.TCPConn) bool {
-	n, _ := peek(c)
+// hasUnread reports whether a connection has unread data.
+func hasUnread(c *net.TCPConn) bool {
+	n, _ := peekConn(c)
 	return n > 0
 }
 
-// peerClosed tells whether the peer has closed its side of the connection, or reset it, however much of what it sent
-// before is still to be read. Where the system doesn't tell, it is taken to be there.
+// peerClosed reports whether the peer has closed its side of the connection or reset it, even if data sent before that
+// is still unread. If the system can't tell, it returns false.
 func peerClosed(fd int) bool {
 	for {
 		polled := []unix.PollFd{{Fd: int32(fd), Events: unix.POLLRDHUP}}
@@ -112,7 +113,7 @@
 	}
 }
 
-// unreadBytes is how much has come that is still to be read; 0 where the system doesn't tell.
+// unreadBytes returns how many bytes have arrived that are still to be read; 0 if the system can't tell.
 func unreadBytes(fd int) int {
 	n, err := unix.IoctlGetInt(fd, unix.SIOCINQ)
 	if err != nil {
@@ -121,22 +122,22 @@
 	return n
 }
 
-// noDataAge is set once the system has refused to tell the age of a connection's data, and is not asked again.
-var noDataAge atomic.Bool
+// dataAgeUnsupported is set once the system has refused to tell the age of a connection's data, so it isn't asked again.
+var dataAgeUnsupported atomic.Bool
 
-// lastDataAge is how long ago the connection's newest bytes came (TCP_INFO, in steps of some milliseconds); 0 where the
-// system doesn't tell.
+// lastDataAge returns how long ago the connection's newest data arrived (TCP_INFO, with a resolution of some
+// milliseconds); 0 if the system can't tell.
 func lastDataAge(fd int) time.Duration {
-	if noDataAge.Load() {
+	if dataAgeUnsupported.Load() {
 		return 0
 	}
 	info, err := unix.GetsockoptTCPInfo(fd, unix.IPPROTO_TCP, unix.TCP_INFO)
 	if err != nil {
-		noDataAge.Store(!syserr.Passes(err))
+		dataAgeUnsupported.Store(!syserr.Retryable(err))
 		return 0
 	}
 	age := time.Duration(info.Last_data_recv) * time.Millisecond
-	if info.State != tcpEstablished && info.State != tcpCloseWait || age > longestDataAge {
+	if info.State != tcpEstablished && info.State != tcpCloseWait || age > maxDataAge {
 		return 0
 	}
 	return age
