--- a/internal/node/socket_test.go
+++ b/internal/node/socket_test.go
@@ -30,11 +30,11 @@
 func TestWritesGoOnAfterErrorsThatPass(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := &shortConn{errs: []error{syscall.ENOBUFS, syscall.EINTR, syscall.ENOMEM}}
-		if n, err := writePatiently(c, []byte("an answer")); n != 9 || err != nil || c.got.String() != "an answer" {
+		if n, err := writeWithRetry(c, []byte("an answer")); n != 9 || err != nil || c.got.String() != "an answer" {
 			t.Errorf("%d bytes, %v: %q", n, err, &c.got)
 		}
 		c = &shortConn{errs: []error{syscall.ENOBUFS, syscall.EPIPE, nil}}
-		if n, err := writePatiently(c, []byte("an answer")); n != 4 || err == nil {
+		if n, err := writeWithRetry(c, []byte("an answer")); n != 4 || err == nil {
 			t.Errorf("%d bytes, %v", n, err)
 		}
 	})
--- a/internal/node/starts_test.go
+++ b/internal/node/starts_test.go
@@ -26,7 +26,7 @@
 			1:                                 0,
 			1<<53 - 1:                         timeOrigin + time.Minute,
 		} {
-			if got := s.of(fmt.Sprint(told), told); got != want {
+			if got := s.startTime(fmt.Sprint(told), told); got != want {
 				t.Errorf("%d: got %v, want %v", told, got, want)
 			}
 		}
@@ -42,13 +42,13 @@
 			synctest.Test(t, func(t *testing.T) {
 				c, shift := clock{start: time.Now()}, time.Duration(0)
 				s := newServerStarts(c)
-				s.wall = func() time.Time { return time.Now().Add(shift) }
+				s.wallNow = func() time.Time { return time.Now().Add(shift) }
 				time.Sleep(time.Minute)
 				first := time.Now().UnixMilli()
-				before := s.of("s0", first)
+				before := s.startTime("s0", first)
 				shift = step
 				for range 10 {
-					s.read()
+					s.checkWallClock()
 				}
 				if len(s.readings) != 2 {
 					t.Errorf("a step by %v leaves %d readings", step, len(s.readings))
@@ -59,15 +59,15 @@
 				}
 				started := c.now()
 				time.Sleep(time.Second)
-				at := s.of("s1", told.UnixMilli())
+				at := s.startTime("s1", told.UnixMilli())
 				if age := c.now() - at; age < 0 || age > cold/2 {
 					t.Errorf("step %v, of the registry too %v: a server that started at %v counts as %v old", step, registryToo, started, age)
 				}
-				if again := s.of("s0", first); again != before {
+				if again := s.startTime("s0", first); again != before {
 					t.Errorf("a start moved by %v", again-before)
 				}
 				long := time.Now().Add(-3 * time.Hour).UnixMilli()
-				if age := c.now() - s.of("s2", long); age < cold {
+				if age := c.now() - s.startTime("s2", long); age < cold {
 					t.Errorf("step %v: a server that runs for long counts as %v old", step, age)
 				}
 			})
--- a/internal/node/testing_test.go
+++ b/internal/node/testing_test.go
@@ -102,10 +102,10 @@
 func testClientRequest(method, id string, body string) *clientRequest {
 	x := &clientRequest{req: policy.Request{ID: id, Class: "read", Tenant: "t"}, method: method,
 		url: &url.URL{Path: "/api", RawQuery: "q=a%20b"}, host: "origin.svc", body: []byte(body),
-		came: timeOrigin, clientWaits: long}
-	x.begin()
+		arrivedAt: timeOrigin, clientTimeout: long}
+	x.setUp()
 	if method == http.MethodPost {
-		x.key = "k-" + id
+		x.idempotencyKey = "k-" + id
 	}
 	return x
 }
--- a/internal/node/timers.go
+++ b/internal/node/timers.go
@@ -6,43 +6,47 @@
 	"cobaltward/policy"
 )
 
-// clock turns the machine's monotonic clock into policy.Time.
+// clock converts between the monotonic clock and policy.Time.
 type clock struct{ start time.Time }
 
 func (c clock) now() policy.Time { return timeOrigin + time.Since(c.start) }
 
-// of is the module's time of a moment, which is no later than now.
-func (c clock) of(t time.Time) policy.Time { return min(c.now(), timeOrigin+t.Sub(c.start)) }
+// fromTime converts t to policy.Time, limited to the present.
+func (c clock) fromTime(t time.Time) policy.Time { return min(c.now(), timeOrigin+t.Sub(c.start)) }
 
-func (c clock) at(t policy.Time) time.Time { return c.start.Add(t - timeOrigin) }
+// toTime converts t from policy.Time.
+func (c clock) toTime(t policy.Time) time.Time { return c.start.Add(t - timeOrigin) }
 
-// timer is one of the module's, or a request's backstop.
+// timer is a timer of the decision module, or a request's deadline timer.
 type timer struct {
-	due      policy.Time
-	token    uint64
-	backstop *request
-	at       int // its place among the timers; -1 once it is out
+	due        policy.Time
+	token      uint64
+	deadlineOf *request
+	index      int // index in the heap; -1 once it is removed
 }
 
-type timers []*timer
+// timerHeap is a heap of timers, ordered by due time.
+type timerHeap []*timer
 
-func (t timers) Len() int           { return len(t) }
-func (t timers) Less(i, j int) bool { return t[i].due < t[j].due }
+func (t timerHeap) Len() int           { return len(t) }
+func (t timerHeap) Less(i, j int) bool { return t[i].due < t[j].due }
 
-func (t timers) Swap(i, j int) {
+func (t timerHeap) Swap(i, j int) {
 	t[i], t[j] = t[j], t[i]
-	t[i].at, t[j].at = i, j
+	t[i].index, t[j].index = i, j
 }
 
-func (t *timers) Push(x any) {
-	x.(*timer).at = len(*t)
+// Push implements heap.Interface.
+func (t *timerHeap) Push(x any) {
+	x.(*timer).index = len(*t)
 	*t = append(*t, x.(*timer))
 }
 
-func (t *timers) Pop() any {
+// Pop implements heap.Interface.
+func (t *timerHeap) Pop() any {
 	last := len(*t) - 1
-	x := (*t)[last]
-	x.at, (*t)[last] = -1, nil
+	removed := (*t)[last]
+	removed.index, (*t)[last] = -1, nil
 	*t = (*t)[:last]
-	return x
+	return removed
 }
--- a/internal/node/trace_test.go
+++ b/internal/node/trace_test.go
@@ -29,24 +29,24 @@
 // A request that ended badly leaves one line with its id, who ended it, and all its attempts.
 func TestTraceTellsHowARequestEnded(t *testing.T) {
 	log := captureLog(t)
-	tr := trace{metrics: newMetrics()}
+	tr := requestLog{metrics: newMetrics()}
 	r := &request{clientRequest: testClientRequest(http.MethodGet, "r1", "")}
-	r.attempts = []attempt{{server: "s-a", sent: r.came + time.Millisecond, over: true, code: policy.ConnectFailed}}
-	tr.attempt(r.came+3*time.Millisecond, r, 0, result{code: policy.ConnectFailed, opened: true, err: errors.New("refused")})
-	tr.answered(r.came+4*time.Millisecond, r, answer{status: http.StatusServiceUnavailable}, "no server has room")
+	r.attempts = []attempt{{server: "s-a", sentAt: r.arrivedAt + time.Millisecond, ended: true, code: policy.ConnectFailed}}
+	tr.recordAttempt(r.arrivedAt+3*time.Millisecond, r, 0, attemptResult{code: policy.ConnectFailed, opened: true, err: errors.New("refused")})
+	tr.recordEnd(r.arrivedAt+4*time.Millisecond, r, answer{status: http.StatusServiceUnavailable}, "no server has room")
 	for _, want := range []string{"id=r1", `by="no server has room"`, "after=4ms", "s-a@1.0ms=connect failed:2.0ms", "err=refused"} {
 		if !strings.Contains(log.String(), want) {
 			t.Errorf("the log lacks %q:\n%s", want, log)
 		}
 	}
 	log.Reset()
-	r.attempts = append(r.attempts, attempt{server: "s-a", sent: r.came})
-	tr.attempt(r.came+6*time.Millisecond, r, 1, result{code: policy.OK, report: []float64{0.25, 7}})
-	tr.answered(r.came+4*time.Millisecond, r, answer{status: http.StatusOK}, "")
+	r.attempts = append(r.attempts, attempt{server: "s-a", sentAt: r.arrivedAt})
+	tr.recordAttempt(r.arrivedAt+6*time.Millisecond, r, 1, attemptResult{code: policy.OK, report: []float64{0.25, 7}})
+	tr.recordEnd(r.arrivedAt+4*time.Millisecond, r, answer{status: http.StatusOK}, "")
 	if log.Len() > 0 {
 		t.Errorf("a served request is logged: %s", log)
 	}
-	tr.summary(2, 0, 0, 0, "state", new(invariant.Monitor))
+	tr.writeSummary(2, 0, 0, 0, "state", new(invariant.Monitor))
 	for _, want := range []string{"served=1", `refused="map[no server has room:1]"`, `attempts="map[connect failed:1 ok:1]"`, "opened=1",
 		`servers="s-a=2/1/6ms[0.25 7]"`} {
 		if !strings.Contains(log.String(), want) {
@@ -58,15 +58,15 @@
 // An overload doesn't drown the log; what is left out is counted.
 func TestTraceIsBounded(t *testing.T) {
 	log := captureLog(t)
-	tr := trace{metrics: newMetrics()}
+	tr := requestLog{metrics: newMetrics()}
 	r := &request{clientRequest: testClientRequest(http.MethodGet, "r1", "")}
 	for i := range 3 * linesPerSecond {
-		tr.answered(time.Hour+time.Duration(i), r, answer{status: http.StatusBadGateway}, "x")
+		tr.recordEnd(time.Hour+time.Duration(i), r, answer{status: http.StatusBadGateway}, "x")
 	}
-	if n := strings.Count(log.String(), "\n"); n != linesPerSecond || tr.skipped != 2*linesPerSecond {
-		t.Errorf("%d lines written and %d left out, want %d and %d", n, tr.skipped, linesPerSecond, 2*linesPerSecond)
+	if n := strings.Count(log.String(), "\n"); n != linesPerSecond || tr.suppressedLines != 2*linesPerSecond {
+		t.Errorf("%d lines written and %d left out, want %d and %d", n, tr.suppressedLines, linesPerSecond, 2*linesPerSecond)
 	}
-	tr.answered(time.Hour+time.Second, r, answer{status: http.StatusBadGateway}, "x")
+	tr.recordEnd(time.Hour+time.Second, r, answer{status: http.StatusBadGateway}, "x")
 	if n := strings.Count(log.String(), "\n"); n != linesPerSecond+1 {
 		t.Errorf("the next second's line is missing: %d lines", n)
 	}
@@ -105,15 +105,15 @@
 
 // Of many servers a summary tells those that went wrong and those that did most, and how many it leaves out.
 func TestSummaryOfManyServersIsBounded(t *testing.T) {
-	tr := trace{metrics: newMetrics()}
-	tr.servers = make(map[string]*served)
+	tr := requestLog{metrics: newMetrics()}
+	tr.servers = make(map[string]*serverStats)
 	for i := range 39000 {
-		tr.servers[fmt.Sprintf("s%05d", i)] = &served{ended: 1, ok: 1}
+		tr.servers[fmt.Sprintf("s%05d", i)] = &serverStats{ended: 1, ok: 1}
 	}
-	tr.servers["s20000"] = &served{ended: 3, ok: 1}
-	tr.servers["s30000"] = &served{ended: 2, ok: 2}
-	got := strings.Fields(tr.ended())
-	if len(got) != mostServers+1 || got[mostServers] != fmt.Sprint("left_out=", 39000-mostServers) {
+	tr.servers["s20000"] = &serverStats{ended: 3, ok: 1}
+	tr.servers["s30000"] = &serverStats{ended: 2, ok: 2}
+	got := strings.Fields(tr.serverSummary())
+	if len(got) != maxSummaryServers+1 || got[maxSummaryServers] != fmt.Sprint("left_out=", 39000-maxSummaryServers) {
 		t.Errorf("%d words, the last %q", len(got), got[len(got)-1])
 	}
 	for _, want := range []string{"s20000=3/1/0ms[]", "s30000=2/2/0ms[]", "s00000=1/1/0ms[]"} {
@@ -121,7 +121,7 @@
 			t.Errorf("%s is left out", want)
 		}
 	}
-	if !slices.IsSorted(got[1:mostServers]) {
+	if !slices.IsSorted(got[1:maxSummaryServers]) {
 		t.Error("not in the order of ids")
 	}
 }
@@ -129,12 +129,12 @@
 // The metrics tell how long requests without an attempt were held, by what ended them.
 func TestHeldTimeIsCountedByReason(t *testing.T) {
 	metrics := newMetrics()
-	tr := trace{metrics: metrics}
+	tr := requestLog{metrics: metrics}
 	r := &request{clientRequest: testClientRequest(http.MethodGet, "r1", "")}
-	tr.answered(r.came+time.Second, r, answer{status: http.StatusServiceUnavailable}, "no server has room")
-	tr.answered(r.came, r, answer{status: http.StatusTooManyRequests}, "bucket")
-	r.attempts = []attempt{{server: "s-a", sent: r.came, over: true, code: policy.Full}}
-	tr.answered(r.came+time.Second, r, answer{status: http.StatusServiceUnavailable}, "no attempts left")
+	tr.recordEnd(r.arrivedAt+time.Second, r, answer{status: http.StatusServiceUnavailable}, "no server has room")
+	tr.recordEnd(r.arrivedAt, r, answer{status: http.StatusTooManyRequests}, "bucket")
+	r.attempts = []attempt{{server: "s-a", sentAt: r.arrivedAt, ended: true, code: policy.Full}}
+	tr.recordEnd(r.arrivedAt+time.Second, r, answer{status: http.StatusServiceUnavailable}, "no attempts left")
 	w := httptest.NewRecorder()
 	metrics.handler().ServeHTTP(w, httptest.NewRequest(http.MethodGet, "/metrics", nil))
 	for _, want := range []string{`wayhold_request_held_seconds_sum{end="no server has room"} 1`,
--- a/internal/node/upstream.go
+++ b/internal/node/upstream.go
@@ -25,118 +25,120 @@
 )
 
 const (
-	framing         = 8 // bytes that a chunked body may bring for each of its own
-	maxInterim      = 8 // 1xx answers ahead of the final one
-	defaultConnIdle = 60 * time.Second
-	stallLimit      = 10 * time.Second       // without a byte, for a body on its way
-	earlyAnswer     = 250 * time.Millisecond // to take in what a server says before it has the whole request
-	// restFor is how long a connection rests after an answer. Answers carry no id: what comes right
-	// behind one would be taken for the next one's, were the connection used again at once. Second answers come
-	// some milliseconds late, so that one that rested for restLong goes first; but a new one costs more than it helps.
-	restFor  = 3 * time.Millisecond
-	restLong = 10 * time.Millisecond
-	// restUnasked is how long connections rest at a server that has sent what nobody asked for within the last
-	// unaskedFor: stray answers come some milliseconds late, and later still where a machine is busy.
-	restUnasked = 50 * time.Millisecond
-	unaskedFor  = 10 * time.Second
-	// A dial that failed by what this machine lacks is tried again for dialAgainFor, after pauses.
-	dialAgainFor  = 100 * time.Millisecond
-	dialPause     = 2 * time.Millisecond
-	dialPauseMost = 20 * time.Millisecond
+	maxFramingFactor     = 8 // raw bytes that a chunked body may have for each byte of its content
+	maxInterimResponses  = 8 // 1xx responses before the final one
+	defaultConnIdle      = 60 * time.Second
+	stallTimeout         = 10 * time.Second       // without progress, for a body in transfer
+	earlyResponseTimeout = 250 * time.Millisecond // to read a response that a server sends before it has the whole request
+	// reuseDelay is how long a connection stays unused after a response. Responses carry no id: if the connection were
+	// reused at once, surplus bytes behind one response would be taken for the next. Duplicate responses arrive some
+	// milliseconds late, so a connection that was idle for preferredReuseDelay is taken first. Where there is none, one
+	// idle for reuseDelay is used all the same, since opening a new connection costs more than the longer delay gains.
+	reuseDelay          = 3 * time.Millisecond
+	preferredReuseDelay = 10 * time.Millisecond
+	// unsolicitedReuseDelay replaces both for a server that sent unsolicited bytes within the last unsolicitedWindow:
+	// stray responses arrive some milliseconds late, and later still on a busy machine.
+	unsolicitedReuseDelay = 50 * time.Millisecond
+	unsolicitedWindow     = 10 * time.Second
+	// A dial that failed for lack of local resources is retried for dialRetryFor, with a backoff.
+	dialRetryFor     = 100 * time.Millisecond
+	dialBackoffFirst = 2 * time.Millisecond
+	dialBackoffMax   = 20 * time.Millisecond
 )
 
 var (
-	errUnknown   = errors.New("not in the list")
-	errLeaving   = errors.New("the server began to leave before anything was sent")
-	errLeft      = errors.New("the client left before anything was sent")
-	errTooLate   = errors.New("the time in which it may be sent again is over")
-	errNoSockets = errors.New("nothing is left for another connection")
-	errMalformed = errors.New("the answer can't be read")
+	errUnknownServer    = errors.New("server not in the member list")
+	errServerLeaving    = errors.New("server left or began to drain before the request was sent")
+	errClientLeft       = errors.New("client disconnected before the request was sent")
+	errRepeatWindowOver = errors.New("time window for a repeated request has passed")
+	errNoSockets        = errors.New("no sockets available for another server connection")
+	errMalformed        = errors.New("malformed response")
 )
 
-// upstream makes attempts at servers, over connections that it holds itself. It writes and reads with
-// net/http's own functions and not with its Transport, which sends some requests again by itself, each
-// an attempt that the module never decided on, and which may read what was left behind one answer as
-// the next one's.
+// upstream makes attempts at servers over connections that it pools itself. It uses net/http's functions for writing
+// requests and reading responses but not http.Transport, which retries some requests on its own, each an attempt that the
+// decision module did not decide on, and which may take surplus bytes behind one response for the next response.
 type upstream struct {
-	dial    func(ctx context.Context, network, addr string) (net.Conn, error)
-	idleFor time.Duration // an idle connection is dropped after this
-	report  []string      // names of the figures of a load report, in order
-	memory  *memoryBudget // for bodies
-	monitor *invariant.Monitor
-	unasked prometheus.Counter
-	readers sync.Pool // of *bufio.Reader
-	writers sync.Pool // of *bytes.Buffer
-
-	// Clients borrow descriptors that are not in use here, and give them back; nil: there are none to lend to.
+	dial        func(ctx context.Context, network, addr string) (net.Conn, error)
+	idleTimeout time.Duration // an idle connection is closed after this
+	reportNames []string      // names of the values in a load report, in order
+	memory      *memoryBudget // for request and response bodies
+	monitor     *invariant.Monitor
+	unsolicited prometheus.Counter
+	readerPool  sync.Pool // of *bufio.Reader
+	bufferPool  sync.Pool // of *bytes.Buffer
+
+	// Client connections may borrow descriptors that are unused here: borrowed returns how many they hold, and reclaim
+	// takes one back. Both are nil where there is no listener for clients.
 	borrowed func() int
 	reclaim  func() bool
 
-	mu    sync.Mutex
-	pools map[string]*pool
-	rests idlePools         // those with idle connections: few, where servers are many
-	at    map[string]string // the pool's server at each address
-	// By what was heard, whether or not the loop has taken it up: the number of the news that took a server out of
-	// service, and of the newest whole list.
-	stopped    map[string]uint64
-	wholeHeard uint64
-	open       int          // connections, those being made among them
-	most       int          // that may be open: the rest of the descriptors is the clients'
-	free       atomic.Int64 // of them; read without the mutex
-}
-
-// pool holds the idle connections to one process of one server, the last used at the end.
-type pool struct {
-	addr    string
-	upSince int64
-	idle    []*conn
-	unasked time.Time       // when its server last sent what nobody had asked for; zero: never
-	leaving context.Context // ends when nothing new may go there any more
-	leave   context.CancelFunc
-	restsAt int // place among those with idle connections, from 1; 0: it has none
-}
-
-func newPool(m discovery.Member) *pool {
-	p := &pool{addr: m.Addr, upSince: m.UpSince}
+	mu           sync.Mutex
+	pools        map[string]*connPool
+	idlePools    idlePoolHeap      // the pools that have idle connections, which are few even with many servers
+	serverByAddr map[string]string // server id by address of its pool
+	// Sequence numbers of received news, whether or not the loop has handled it: of the latest news that took a server
+	// out of service, by server id, and of the newest full list.
+	stopSequences    map[string]uint64
+	fullListSequence uint64
+	openConns        int          // connections, including those being established
+	maxOpen          int          // limit of openConns; the other descriptors belong to client connections
+	freeConns        atomic.Int64 // maxOpen - openConns, to be read without the mutex
+}
+
+// connPool holds the idle connections to one process of one server, the most recently used at the end.
+type connPool struct {
+	addr            string
+	upSince         int64
+	idle            []*serverConn
+	lastUnsolicited time.Time       // when its server last sent unsolicited bytes; zero: never
+	leaving         context.Context // done once no new request may be sent to the server
+	leave           context.CancelFunc
+	heapPosition    int // 1-based position in idlePools; 0: it has no idle connection
+}
+
+func newConnPool(m discovery.Member) *connPool {
+	p := &connPool{addr: m.Addr, upSince: m.UpSince}
 	p.leaving, p.leave = context.WithCancel(context.Background())
 	return p
 }
 
-type conn struct {
+// serverConn is a connection to a server.
+type serverConn struct {
 	*net.TCPConn
-	pool *pool
-	used time.Time
-	uses int // requests that it served
+	pool     *connPool
+	lastUsed time.Time
+	requests int // requests served on it
 }
 
-func newUpstream(c Config, most int) *upstream {
-	idle := c.Settings.Allowed.ConnIdle
-	if idle == 0 {
-		idle = defaultConnIdle
+func newUpstream(c Config, maxOpen int) *upstream {
+	connIdle := c.Settings.Allowed.ConnIdle
+	if connIdle == 0 {
+		connIdle = defaultConnIdle
 	}
 	u := &upstream{
-		dial:    (&net.Dialer{Timeout: c.ConnectTimeout, KeepAlive: -1}).DialContext,
-		idleFor: idle / 2, // what is written just as the server closes would end as a reset
-		report:  c.Settings.Report, monitor: new(invariant.Monitor), unasked: newUnaskedCounter(), memory: newMemoryBudget(c.MemoryMB, c.Cores), pools: make(map[string]*pool),
-		at: make(map[string]string), stopped: make(map[string]uint64), most: most,
-		readers: sync.Pool{New: func() any { return bufio.NewReader(nil) }},
-		writers: sync.Pool{New: func() any { return new(bytes.Buffer) }},
-	}
-	u.count(0)
+		dial:        (&net.Dialer{Timeout: c.ConnectTimeout, KeepAlive: -1}).DialContext,
+		idleTimeout: connIdle / 2, // closed well before the server does: a request sent just as the server closes would end in a reset
+		reportNames: c.Settings.Report, monitor: new(invariant.Monitor), unsolicited: newUnsolicitedCounter(), memory: newMemoryBudget(c.MemoryMB, c.Cores), pools: make(map[string]*connPool),
+		serverByAddr: make(map[string]string), stopSequences: make(map[string]uint64), maxOpen: maxOpen,
+		readerPool: sync.Pool{New: func() any { return bufio.NewReader(nil) }},
+		bufferPool: sync.Pool{New: func() any { return new(bytes.Buffer) }},
+	}
+	u.addOpen(0)
 	return u
 }
 
-// stopLeaving keeps attempts from servers that drain or are gone by news that has just been heard, before the loop takes
-// it up: an attempt may be under way, and the loop may be late.
-func (u *upstream) stopLeaving(heard heardNews) {
+// stopLeavingServers stops new requests to servers that are draining or gone according to news just received, before the
+// loop handles it: an attempt may be in progress, and the loop may be late.
+func (u *upstream) stopLeavingServers(heard receivedUpdate) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	stays := make(map[string]bool, len(heard.Members))
+	running := make(map[string]bool, len(heard.Members))
 	for _, m := range heard.Members {
-		if stays[m.Server] = m.Availability == policy.Running; stays[m.Server] {
+		if running[m.Server] = m.Availability == policy.Running; running[m.Server] {
 			continue
 		}
-		u.stopped[m.Server] = heard.sequence
+		u.stopSequences[m.Server] = heard.sequence
 		if p := u.pools[m.Server]; p != nil {
 			p.leave()
 		}
@@ -144,26 +146,28 @@
 	if heard.Kind == policy.ListUpdate {
 		return
 	}
-	u.wholeHeard = heard.sequence
+	u.fullListSequence = heard.sequence
 	for id, p := range u.pools {
-		if !stays[id] {
+		if !running[id] {
 			p.leave()
 		}
 	}
 }
 
-// outdated tells whether later news than the given has been heard that may take a server out of service.
-func (u *upstream) outdated(id string, sequence uint64) bool {
-	return sequence < u.stopped[id] || sequence < u.wholeHeard
+// isOutdated reports whether news later than the given sequence number may have taken the server out of service.
+func (u *upstream) isOutdated(id string, sequence uint64) bool {
+	return sequence < u.stopSequences[id] || sequence < u.fullListSequence
 }
 
-// update follows a list that is the newest.
-func (u *upstream) update(n discovery.News) { u.follow(heardNews{News: n, sequence: math.MaxUint64}) }
+// applyNewestList applies a list that no received news supersedes.
+func (u *upstream) applyNewestList(n discovery.Update) {
+	u.applyList(receivedUpdate{Update: n, sequence: math.MaxUint64})
+}
 
-// follow follows the list. A server that moved or started anew gets a new pool: what was open to its
-// former process is of no use.
-func (u *upstream) follow(heard heardNews) {
-	n := heard.News
+// applyList updates the pools from discovery news. A server that moved or restarted gets a new pool: connections to its
+// former process are useless.
+func (u *upstream) applyList(heard receivedUpdate) {
+	n := heard.Update
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	listed := make(map[string]bool, len(n.Members))
@@ -172,20 +176,20 @@
 		listed[m.Server] = true
 		switch {
 		case m.Availability == policy.Removed:
-			u.forget(m.Server)
+			u.removePool(m.Server)
 		case p == nil || p.addr != m.Addr || p.upSince != m.UpSince:
-			u.forget(m.Server)
-			u.take(m)
+			u.removePool(m.Server)
+			u.addPool(m)
 		}
-		outdated := u.outdated(m.Server, heard.sequence)
+		outdated := u.isOutdated(m.Server, heard.sequence)
 		if !outdated {
-			delete(u.stopped, m.Server)
+			delete(u.stopSequences, m.Server)
 		}
 		switch p = u.pools[m.Server]; {
 		case p == nil:
 		case m.Availability == policy.Draining || outdated:
 			p.leave()
-		case p.leaving.Err() != nil: // it stays after all
+		case p.leaving.Err() != nil: // it is running after all
 			p.leaving, p.leave = context.WithCancel(context.Background())
 		}
 	}
@@ -194,164 +198,165 @@
 	}
 	for id := range u.pools {
 		if !listed[id] {
-			u.forget(id)
+			u.removePool(id)
 		}
 	}
-	maps.DeleteFunc(u.stopped, func(_ string, sequence uint64) bool { return sequence <= heard.sequence })
+	maps.DeleteFunc(u.stopSequences, func(_ string, sequence uint64) bool { return sequence <= heard.sequence })
 }
 
-// take makes a pool for m, unless another server has its address by now: of two at one address the
-// one that started last is there, and what is meant for the other must not reach it.
-func (u *upstream) take(m discovery.Member) {
-	if id, taken := u.at[m.Addr]; taken {
+// addPool creates a pool for m, unless a server that started later has the same address: of two servers at one address
+// the later one is the one that listens, and requests for the other must not reach it.
+func (u *upstream) addPool(m discovery.Member) {
+	if id, occupied := u.serverByAddr[m.Addr]; occupied {
 		if u.pools[id].upSince > m.UpSince {
 			return
 		}
-		u.forget(id)
+		u.removePool(id)
 	}
-	u.at[m.Addr] = m.Server
-	u.pools[m.Server] = newPool(m)
+	u.serverByAddr[m.Addr] = m.Server
+	u.pools[m.Server] = newConnPool(m)
 }
 
-func (u *upstream) forget(id string) {
+// removePool closes the pool of a server that is gone or was replaced.
+func (u *upstream) removePool(id string) {
 	if p := u.pools[id]; p != nil {
 		p.leave()
-		u.trim(p, len(p.idle))
+		u.closeOldest(p, len(p.idle))
 		delete(u.pools, id)
-		delete(u.at, p.addr)
+		delete(u.serverByAddr, p.addr)
 	}
 }
 
-// isQuiet tells whether an idle connection is open and has brought nothing. What its server sent unasked is noted.
-func (u *upstream) isQuiet(c *conn, now time.Time) bool {
-	n, err := peek(c.TCPConn)
+// isQuiet reports whether an idle connection is open and has no unread bytes. Unsolicited bytes are recorded.
+func (u *upstream) isQuiet(c *serverConn, now time.Time) bool {
+	n, err := peekConn(c.TCPConn)
 	if n > 0 {
-		u.noteUnasked(c.pool, now)
+		u.recordUnsolicited(c.pool, now)
 	}
 	return err == syscall.EAGAIN
 }
 
-// noteUnasked notes that a server sent what nobody had asked for. The caller has the mutex.
-func (u *upstream) noteUnasked(p *pool, now time.Time) {
-	p.unasked = now
-	u.unasked.Inc()
+// recordUnsolicited records that a server sent unsolicited bytes. The caller holds the mutex.
+func (u *upstream) recordUnsolicited(p *connPool, now time.Time) {
+	p.lastUnsolicited = now
+	u.unsolicited.Inc()
 }
 
-// setIdle has p keep these connections idle. Sweeps and evictions look at pools that have any and no others: a walk
-// over all servers would hold the mutex, and with it every request, for milliseconds where they are tens of thousands.
-func (u *upstream) setIdle(p *pool, idle []*conn) {
+// setIdle sets the idle connections of p and updates idlePools. Sweeps and evictions only visit the pools in idlePools:
+// with tens of thousands of servers, a walk over all pools would hold the mutex, and delay every request, for milliseconds.
+func (u *upstream) setIdle(p *connPool, idle []*serverConn) {
 	if len(idle) == 0 {
-		if p.restsAt > 0 {
-			heap.Remove(&u.rests, p.restsAt-1)
+		if p.heapPosition > 0 {
+			heap.Remove(&u.idlePools, p.heapPosition-1)
 		}
 		p.idle = idle
 		return
 	}
-	if p.idle = idle; p.restsAt > 0 {
-		heap.Fix(&u.rests, p.restsAt-1)
+	if p.idle = idle; p.heapPosition > 0 {
+		heap.Fix(&u.idlePools, p.heapPosition-1)
 	} else {
-		heap.Push(&u.rests, p)
+		heap.Push(&u.idlePools, p)
 	}
 }
 
-// idlePools is a heap of pools by when their connection was last used that is idle longest, so that room for another
-// connection is found without a look at all of them.
-type idlePools []*pool
+// idlePoolHeap is a heap of pools ordered by the last use of their longest-idle connection, so that the connection to
+// evict is found without visiting all pools.
+type idlePoolHeap []*connPool
 
-func (h idlePools) Len() int           { return len(h) }
-func (h idlePools) Less(i, j int) bool { return h[i].idle[0].used.Before(h[j].idle[0].used) }
-func (h idlePools) Swap(i, j int) {
+func (h idlePoolHeap) Len() int           { return len(h) }
+func (h idlePoolHeap) Less(i, j int) bool { return h[i].idle[0].lastUsed.Before(h[j].idle[0].lastUsed) }
+func (h idlePoolHeap) Swap(i, j int) {
 	h[i], h[j] = h[j], h[i]
-	h[i].restsAt, h[j].restsAt = i+1, j+1
+	h[i].heapPosition, h[j].heapPosition = i+1, j+1
 }
 
-// Push adds a pool, for container/heap.
-func (h *idlePools) Push(p any) {
-	*h = append(*h, p.(*pool))
-	p.(*pool).restsAt = len(*h)
+// Push implements heap.Interface.
+func (h *idlePoolHeap) Push(p any) {
+	*h = append(*h, p.(*connPool))
+	p.(*connPool).heapPosition = len(*h)
 }
 
-// Pop takes the last pool out, for container/heap.
-func (h *idlePools) Pop() any {
+// Pop implements heap.Interface.
+func (h *idlePoolHeap) Pop() any {
 	last := len(*h) - 1
 	p := (*h)[last]
 	(*h)[last] = nil
-	*h, p.restsAt = (*h)[:last], 0
+	*h, p.heapPosition = (*h)[:last], 0
 	return p
 }
 
-// trim closes the n connections of p that were idle longest.
-func (u *upstream) trim(p *pool, n int) {
+// closeOldest closes the n longest-idle connections of p.
+func (u *upstream) closeOldest(p *connPool, n int) {
 	for _, c := range p.idle[:n] {
 		c.Close()
 	}
-	u.setIdle(p, append([]*conn(nil), p.idle[n:]...))
-	u.count(-n)
+	u.setIdle(p, append([]*serverConn(nil), p.idle[n:]...))
+	u.addOpen(-n)
 }
 
-// closeIdle drops the idle connections to one server.
+// closeIdle closes the idle connections to one server.
 func (u *upstream) closeIdle(id string) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	if p := u.pools[id]; p != nil {
-		u.trim(p, len(p.idle))
+		u.closeOldest(p, len(p.idle))
 	}
 }
 
-// sweep drops the connections that were idle for too long, and those that are quiet no more.
+// sweep closes connections that were idle for too long, were closed by the server or have unsolicited bytes.
 func (u *upstream) sweep(now time.Time) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	for _, p := range slices.Clone(u.rests) {
-		var kept []*conn
+	for _, p := range slices.Clone(u.idlePools) {
+		var kept []*serverConn
 		for _, c := range p.idle {
-			if now.Sub(c.used) < u.idleFor && u.isQuiet(c, now) {
+			if now.Sub(c.lastUsed) < u.idleTimeout && u.isQuiet(c, now) {
 				kept = append(kept, c)
 				continue
 			}
 			c.Close()
-			u.count(-1)
+			u.addOpen(-1)
 		}
 		u.setIdle(p, kept)
 	}
 }
 
-// close drops all idle connections; those in use end with their attempts.
-func (u *upstream) close() { u.update(discovery.News{Kind: policy.ListReplace}) }
+// close closes all idle connections; those in use are closed at the end of their attempts.
+func (u *upstream) close() { u.applyNewestList(discovery.Update{Kind: policy.ListReplace}) }
 
-// acquire takes an idle connection to the server, or makes one. It gives up as soon as the server begins
-// to leave, or the client has left: both count against a request's first byte, and a connection may come up late.
-func (u *upstream) acquire(ctx, left context.Context, id string) (*conn, error) {
-	p, c, leaving, err := u.reserve(id)
+// acquire takes an idle connection to the server, or opens one. It gives up as soon as the server begins to leave or the
+// client has left: neither allows a first byte to be sent, and connecting may take long.
+func (u *upstream) acquire(ctx, left context.Context, id string) (*serverConn, error) {
+	p, c, leaving, err := u.reserveConn(id)
 	if c != nil || err != nil {
 		return c, err
 	}
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
-	defer context.AfterFunc(leaving, func() { cancel(errLeaving) })()
-	defer context.AfterFunc(left, func() { cancel(errLeft) })()
-	tcp, err := u.dialPatiently(ctx, p.addr)
+	defer context.AfterFunc(leaving, func() { cancel(errServerLeaving) })()
+	defer context.AfterFunc(left, func() { cancel(errClientLeft) })()
+	tcp, err := u.dialWithRetry(ctx, p.addr)
 	if err == nil && leaving.Err() != nil {
 		tcp.Close()
-		err = errLeaving
+		err = errServerLeaving
 	}
 	if err != nil {
-		u.unreserve()
+		u.unreserveConn()
 		switch {
 		case leaving.Err() != nil:
-			return nil, errLeaving
-		case syserr.Passes(err):
+			return nil, errServerLeaving
+		case syserr.Retryable(err):
 			return nil, errNoSockets
 		}
 		return nil, err
 	}
-	return &conn{TCPConn: tcp.(*net.TCPConn), pool: p}, nil
+	return &serverConn{TCPConn: tcp.(*net.TCPConn), pool: p}, nil
 }
 
-// dialPatiently opens a connection, again for a moment where this machine lacks what it takes.
-func (u *upstream) dialPatiently(ctx context.Context, addr string) (net.Conn, error) {
+// dialWithRetry opens a connection, with retries for a short time while the machine lacks resources for it.
+func (u *upstream) dialWithRetry(ctx context.Context, addr string) (net.Conn, error) {
 	var tcp net.Conn
-	err := syserr.Retry(ctx, dialAgainFor, syserr.Backoff{First: dialPause, Most: dialPauseMost}, func() (err error) {
+	err := syserr.Retry(ctx, dialRetryFor, syserr.Backoff{Initial: dialBackoffFirst, Max: dialBackoffMax}, func() (err error) {
 		if err = faultpoint.Fail(faultpoint.Dial); err == nil {
 			tcp, err = u.dial(ctx, "tcp", addr)
 		}
@@ -360,47 +365,47 @@
 	return tcp, err
 }
 
-// reserve returns the idle connection last used of those that have rested, or counts one that the
-// caller is to make.
-func (u *upstream) reserve(id string) (p *pool, c *conn, leaving context.Context, err error) {
+// reserveConn returns an idle connection that is ready for reuse, or else counts a new one, which the caller must open or
+// return by unreserveConn.
+func (u *upstream) reserveConn(id string) (p *connPool, c *serverConn, leaving context.Context, err error) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	switch p = u.pools[id]; {
 	case p == nil:
-		return nil, nil, nil, errUnknown
+		return nil, nil, nil, errUnknownServer
 	case p.leaving.Err() != nil:
-		return nil, nil, nil, errLeaving
+		return nil, nil, nil, errServerLeaving
 	}
 	now := time.Now()
-	for i := p.reusable(now); i >= 0; i = p.reusable(now) {
+	for i := p.reusableIndex(now); i >= 0; i = p.reusableIndex(now) {
 		c := p.idle[i]
 		last := len(p.idle) - 1
 		copy(p.idle[i:], p.idle[i+1:])
 		p.idle[last] = nil
 		u.setIdle(p, p.idle[:last])
-		if now.Sub(c.used) < u.idleFor && u.isQuiet(c, now) {
+		if now.Sub(c.lastUsed) < u.idleTimeout && u.isQuiet(c, now) {
 			return p, c, p.leaving, nil
 		}
 		c.Close()
-		u.count(-1)
+		u.addOpen(-1)
 	}
 	if !u.makeRoom() {
 		return nil, nil, nil, errNoSockets
 	}
-	u.count(1)
+	u.addOpen(1)
 	return p, nil, p.leaving, nil
 }
 
-// reusable returns which idle connection goes first: the last used of those that rested for long, else of those that
-// rested at all; below 0: none has.
-func (p *pool) reusable(now time.Time) int {
-	rests := []time.Duration{restLong, restFor}
-	if !p.unasked.IsZero() && now.Sub(p.unasked) < unaskedFor {
-		rests = []time.Duration{restUnasked}
+// reusableIndex returns the index of the idle connection to use next: the most recently used one past
+// preferredReuseDelay, else past reuseDelay; -1 if there is none.
+func (p *connPool) reusableIndex(now time.Time) int {
+	delays := []time.Duration{preferredReuseDelay, reuseDelay}
+	if !p.lastUnsolicited.IsZero() && now.Sub(p.lastUnsolicited) < unsolicitedWindow {
+		delays = []time.Duration{unsolicitedReuseDelay}
 	}
-	for _, rest := range rests {
+	for _, delay := range delays {
 		for i := len(p.idle) - 1; i >= 0; i-- {
-			if now.Sub(p.idle[i].used) >= rest {
+			if now.Sub(p.idle[i].lastUsed) >= delay {
 				return i
 			}
 		}
@@ -408,211 +413,214 @@
 	return -1
 }
 
-// makeRoom finds a descriptor for one more connection: a free one, one lent to clients, or an idle one's.
+// makeRoom finds a descriptor for one more connection: a free one, one lent to clients, or that of an idle connection.
 func (u *upstream) makeRoom() bool {
-	if u.open >= u.most {
+	if u.openConns >= u.maxOpen {
 		return u.evict()
 	}
-	return u.borrowed == nil || u.open+u.borrowed() < u.most || u.reclaim() || u.evict()
+	return u.borrowed == nil || u.openConns+u.borrowed() < u.maxOpen || u.reclaim() || u.evict()
 }
 
-// count follows the number of open connections.
-func (u *upstream) count(n int) {
-	u.open += n
-	u.free.Store(int64(u.most - u.open))
+// addOpen adds n to the number of open connections.
+func (u *upstream) addOpen(n int) {
+	u.openConns += n
+	u.freeConns.Store(int64(u.maxOpen - u.openConns))
 }
 
-// available is how many descriptors clients may borrow: half of the free ones.
-func (u *upstream) available() int { return int(u.free.Load() / 2) }
+// available returns how many descriptors client connections may borrow: half of the free ones.
+func (u *upstream) available() int { return int(u.freeConns.Load() / 2) }
 
-// bound changes how many connections there may be; idle ones beyond it are closed.
-func (u *upstream) bound(most int) {
+// setMaxOpen changes the limit of open connections and closes idle ones beyond it.
+func (u *upstream) setMaxOpen(maxOpen int) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	u.most = most
-	for u.open > u.most && u.evict() {
+	u.maxOpen = maxOpen
+	for u.openConns > u.maxOpen && u.evict() {
 	}
-	u.count(0)
+	u.addOpen(0)
 }
 
-func (u *upstream) inUse() int {
+// openCount returns the number of open connections.
+func (u *upstream) openCount() int {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	return u.open
+	return u.openConns
 }
 
-func (u *upstream) bounded() int {
+// openLimit returns the limit of open connections.
+func (u *upstream) openLimit() int {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	return u.most
+	return u.maxOpen
 }
 
-func (u *upstream) unreserve() {
+// unreserveConn uncounts a connection that could not be opened.
+func (u *upstream) unreserveConn() {
 	u.mu.Lock()
-	u.count(-1)
+	u.addOpen(-1)
 	u.mu.Unlock()
 }
 
-// evict closes the connection that was idle longest, if there is one.
+// evict closes the longest-idle connection, if there is one.
 func (u *upstream) evict() bool {
-	if len(u.rests) == 0 {
+	if len(u.idlePools) == 0 {
 		return false
 	}
-	u.trim(u.rests[0], 1)
+	u.closeOldest(u.idlePools[0], 1)
 	return true
 }
 
-// giveBack returns a connection on which not a byte was written. It has been idle since its last use, for its server
-// counts so too.
-func (u *upstream) giveBack(c *conn, id string) {
+// returnUnused returns a connection on which no byte was written to its pool. Its idle time still counts from its last use,
+// as it does for the server.
+func (u *upstream) returnUnused(c *serverConn, id string) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	if u.pools[id] != c.pool {
 		c.Close()
-		u.count(-1)
+		u.addOpen(-1)
 		return
 	}
-	if c.used.IsZero() {
-		c.used = time.Now()
+	if c.lastUsed.IsZero() {
+		c.lastUsed = time.Now()
 	}
 	idle := c.pool.idle
-	at := len(idle)
-	for at > 0 && idle[at-1].used.After(c.used) {
-		at--
+	position := len(idle)
+	for position > 0 && idle[position-1].lastUsed.After(c.lastUsed) {
+		position--
 	}
-	u.setIdle(c.pool, slices.Insert(idle, at, c))
+	u.setIdle(c.pool, slices.Insert(idle, position, c))
 }
 
-// release puts a connection back if it can serve another request, else closes it.
-func (u *upstream) release(c *conn, id string, reusable bool) {
+// release returns a connection to its pool if it can serve another request, else closes it.
+func (u *upstream) release(c *serverConn, id string, reusable bool) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	if reusable && u.pools[id] == c.pool {
-		c.used = time.Now()
-		c.uses++
+		c.lastUsed = time.Now()
+		c.requests++
 		u.setIdle(c.pool, append(c.pool.idle, c))
 		return
 	}
 	c.Close()
-	u.count(-1)
+	u.addOpen(-1)
 }
 
-// result is how an attempt ended.
-type result struct {
-	code   policy.Code
-	answer answer // for OK
-	report []float64
-	upload time.Duration // that a large body took to go on: no fault of the server's
+// attemptResult is the result of an attempt.
+type attemptResult struct {
+	code       policy.Code
+	answer     answer // for OK
+	report     []float64
+	uploadTime time.Duration // time to forward a large body, which is not counted as the server's latency
 
 	// For the log.
-	opened bool          // a new connection was opened for it, or was to be
-	uses   int           // requests that the connection had served before
-	idle   time.Duration // since the last of them
-	err    error         // the network's own word, where it broke
+	opened       bool          // the attempt opened a new connection, or tried to
+	connRequests int           // requests that the connection had served before
+	connIdle     time.Duration // time since the last of them
+	err          error         // the underlying error
 }
 
-// attemptHost is told how an attempt goes.
-type attemptHost struct {
-	until       time.Time           // when it times out; a large body puts that off by the time it takes
-	by          time.Time           // it must not begin later; zero: at any time
-	clientWaits time.Time           // when the client stops waiting; zero: that can't be told yet
-	left        context.Context     // ends when the client has left: from then on it must not begin
-	uploaded    func(time.Duration) // a large body went on whole; not called for others
-	end         func(result)        // called once, with a large answer as it begins to come
+// attemptParams are the limits of an attempt and the functions that it reports to.
+type attemptParams struct {
+	deadline       time.Time           // when the attempt times out; extended by the time that a large body takes to forward
+	beginBy        time.Time           // latest time to send the first byte; zero: no limit
+	clientDeadline time.Time           // when the client stops waiting; zero: not known yet
+	clientGone     context.Context     // done when the client has left or has its response; no attempt may begin after that
+	onUploaded     func(time.Duration) // called when a large body was forwarded completely, with the time it took
+	onEnd          func(attemptResult) // called once; for a large response when its beginning has been read
 }
 
-var errTimeUp = errors.New("the attempt's time is up")
+var errAttemptTimedOut = errors.New("attempt timed out")
 
-// attempt sends x to the server once, and waits for the answer until its time is up or ctx ends, which
-// closes the connection: so a server learns that nobody waits. It tells its end, and returns when the
-// last byte of an answer has gone on.
-func (u *upstream) attempt(ctx context.Context, id string, x *clientRequest, host attemptHost) {
+// sendAttempt sends x to the server once and waits for the response until the attempt times out or ctx ends. Either closes
+// the connection, which tells the server that nobody waits any more. It reports the result to the callbacks, and returns
+// once the last byte of a response has been forwarded.
+func (u *upstream) sendAttempt(ctx context.Context, id string, x *clientRequest, params attemptParams) {
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
-	limit := time.AfterFunc(time.Until(host.until), func() { cancel(errTimeUp) })
+	limit := time.AfterFunc(time.Until(params.deadline), func() { cancel(errAttemptTimedOut) })
 	defer limit.Stop()
-	if x.rest != nil {
-		limit.Stop() // until it has gone on
+	if x.bodyRest != nil {
+		limit.Stop() // streamRequest restarts it
 	}
-	begin, cancelBegin := ctx, context.CancelFunc(func() {})
-	if !host.by.IsZero() {
-		begin, cancelBegin = context.WithDeadlineCause(ctx, host.by, errTooLate)
+	beginCtx, cancelBegin := ctx, context.CancelFunc(func() {})
+	if !params.beginBy.IsZero() {
+		beginCtx, cancelBegin = context.WithDeadlineCause(ctx, params.beginBy, errRepeatWindowOver)
 	}
-	c, err := u.acquire(begin, host.left, id)
-	over := context.Cause(begin)
+	c, err := u.acquire(beginCtx, params.clientGone, id)
+	stopCause := context.Cause(beginCtx)
 	cancelBegin()
-	denied := u.mayWrite(c, x, host, err, over)
+	denied := u.checkWrite(c, x, params, err, stopCause)
 	if denied != invariant.None {
 		u.monitor.Deny(denied)
 	}
 	if err == nil && denied != invariant.None {
-		u.giveBack(c, id)
+		u.returnUnused(c, id)
 	}
-	if over != nil {
-		err = over
+	if stopCause != nil {
+		err = stopCause
 	}
 	switch {
 	case denied == invariant.AttemptAfterDeparture:
-		host.end(result{code: policy.Cancelled, err: errLeft})
+		params.onEnd(attemptResult{code: policy.Cancelled, err: errClientLeft})
 		return
 	case denied == invariant.SendToLeavingServer && err == nil:
-		err = errLeaving
-	case denied == invariant.AttemptAfterDeadline && err == nil: // this process was late, and no server is to blame
-		host.end(result{code: policy.NotSent, err: errTimeUp})
+		err = errServerLeaving
+	case denied == invariant.AttemptAfterDeadline && err == nil: // this process was late; not the server's fault
+		params.onEnd(attemptResult{code: policy.NotSent, err: errAttemptTimedOut})
 		return
 	}
 	switch {
-	case (errors.Is(err, errNoSockets) || errors.Is(err, errTooLate)) && ctx.Err() == nil:
-		host.end(result{code: policy.NotSent}) // nothing was sent, and the server is not to blame
+	case (errors.Is(err, errNoSockets) || errors.Is(err, errRepeatWindowOver)) && ctx.Err() == nil:
+		params.onEnd(attemptResult{code: policy.NotSent}) // nothing was sent; not the server's fault
 		return
 	case err != nil:
-		host.end(result{code: classifyError(ctx, err, false), opened: !errors.Is(err, errUnknown) && !errors.Is(err, errLeaving), err: err})
+		params.onEnd(attemptResult{code: classifyError(ctx, err, false), opened: !errors.Is(err, errUnknownServer) && !errors.Is(err, errServerLeaving), err: err})
 		return
 	}
-	uses, idle := c.uses, time.Duration(0)
+	uses, idle := c.requests, time.Duration(0)
 	if uses > 0 {
-		idle = time.Since(c.used)
+		idle = time.Since(c.lastUsed)
 	}
 	stop := context.AfterFunc(ctx, func() { c.Close() })
-	t := &exchange{upstream: u, c: c, x: x, host: host, limit: limit}
+	t := &exchange{upstream: u, conn: c, clientRequest: x, params: params, attemptTimer: limit}
 	r, reusable := t.roundTrip(ctx)
-	r.opened, r.uses, r.idle, r.upload = uses == 0, uses, idle, t.upload
-	if t.unasked {
+	r.opened, r.connRequests, r.connIdle, r.uploadTime = uses == 0, uses, idle, t.uploadTime
+	if t.surplusBytes {
 		u.mu.Lock()
-		u.noteUnasked(c.pool, time.Now())
+		u.recordUnsolicited(c.pool, time.Now())
 		u.mu.Unlock()
 	}
-	more := r.answer.more
-	if more == nil {
+	download := r.answer.stream
+	if download == nil {
 		u.release(c, id, stop() && reusable)
-		host.end(r)
+		params.onEnd(r)
 		return
 	}
-	if !limit.Stop() { // it was up just before
-		r.answer.drop()
+	if !limit.Stop() { // it timed out just before
+		r.answer.discard()
 		r.answer, r.code = answer{}, policy.TimedOut
-	} // else what a server still gives is not cut off
-	host.end(r)
-	err = <-more.ended
-	reusable = err == nil && !t.resp.Close && t.in.Buffered() == 0 && c.SetReadDeadline(time.Time{}) == nil
-	t.putBack()
+	} // otherwise the rest of the response is not subject to the timeout
+	params.onEnd(r)
+	err = <-download.ended
+	reusable = err == nil && !t.response.Close && t.reader.Buffered() == 0 && c.SetReadDeadline(time.Time{}) == nil
+	t.releaseReader()
 	u.release(c, id, stop() && reusable)
 }
 
-// mayWrite puts the facts of an attempt whose first byte is about to be written before the rules.
-func (u *upstream) mayWrite(c *conn, x *clientRequest, host attemptHost, acquired, over error) invariant.Rule {
+// checkWrite returns the rule that writing the first byte of an attempt would break now, or invariant.None.
+func (u *upstream) checkWrite(c *serverConn, x *clientRequest, params attemptParams, acquireErr, stopCause error) invariant.Rule {
 	return invariant.MayWrite(invariant.Write{
-		ClientLeft:    host.left.Err() != nil || x.rest == nil && x.client.presence() != present,
-		ServerUnknown: errors.Is(acquired, errUnknown),
-		ServerLeaving: errors.Is(acquired, errLeaving) || c != nil && u.isLeaving(c.pool),
-		WindowOver:    errors.Is(over, errTooLate),
-		TimeUp: over != nil && !errors.Is(over, errTooLate) ||
-			x.rest == nil && invariant.TimeUp(time.Until(host.until)),
+		ClientLeft:    params.clientGone.Err() != nil || x.bodyRest == nil && x.client.presence() != clientPresent,
+		ServerUnknown: errors.Is(acquireErr, errUnknownServer),
+		ServerLeaving: errors.Is(acquireErr, errServerLeaving) || c != nil && u.isLeaving(c.pool),
+		WindowOver:    errors.Is(stopCause, errRepeatWindowOver),
+		TimeUp: stopCause != nil && !errors.Is(stopCause, errRepeatWindowOver) ||
+			x.bodyRest == nil && invariant.TimeUp(time.Until(params.deadline)),
 	})
 }
 
-// isLeaving tells whether nothing new may go to the server of a pool.
-func (u *upstream) isLeaving(p *pool) bool {
+// isLeaving reports whether no new request may be sent to the server of a pool.
+func (u *upstream) isLeaving(p *connPool) bool {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	return p.leaving.Err() != nil
--- a/internal/node/upstream_test.go
+++ b/internal/node/upstream_test.go
@@ -22,29 +22,29 @@
 	t.Helper()
 	c := testConfig(t, knownList(addrs...))
 	u := newUpstream(c, 100)
-	u.update(discovery.News{Kind: policy.ListRestored, Members: c.Known.Members})
+	u.applyNewestList(discovery.Update{Kind: policy.ListRestored, Members: c.Known.Members})
 	t.Cleanup(u.close)
 	return u
 }
 
-func ended(t *testing.T, u *upstream, x *clientRequest) result {
+func ended(t *testing.T, u *upstream, x *clientRequest) attemptResult {
 	t.Helper()
 	return attemptAt(t.Context(), u, "s0", x, time.Now().Add(long))
 }
 
 // attemptAt makes one attempt, and takes in all of its answer; one whose rest breaks off has failed.
-func attemptAt(ctx context.Context, u *upstream, id string, x *clientRequest, until time.Time) (r result) {
-	u.attempt(ctx, id, x, attemptHost{until: until, left: context.Background(), uploaded: func(time.Duration) {}, end: func(e result) {
-		if r = e; r.answer.more == nil {
+func attemptAt(ctx context.Context, u *upstream, id string, x *clientRequest, until time.Time) (r attemptResult) {
+	u.sendAttempt(ctx, id, x, attemptParams{deadline: until, clientGone: context.Background(), onUploaded: func(time.Duration) {}, onEnd: func(e attemptResult) {
+		if r = e; r.answer.stream == nil {
 			r.answer.reserved.release()
 			return
 		}
-		rest, err := io.ReadAll(r.answer.more.rest)
+		rest, err := io.ReadAll(r.answer.stream.rest)
 		if r.answer.body = append(r.answer.body, rest...); err != nil {
 			r.code, r.err = policy.ServerError, err
 		}
 		r.answer.reserved.release()
-		r.answer.more.end(err)
+		r.answer.stream.end(err)
 	}})
 	return r
 }
@@ -55,12 +55,12 @@
 	if p := u.pools[id]; p != nil {
 		idle = len(p.idle)
 	}
-	return u.open, idle
+	return u.openConns, idle
 }
 
 // Only "full" with X-Not-Run, and what never got its last byte written, has not run for certain.
 func TestOutcomeOfEachAnswer(t *testing.T) {
-	big := fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n", maxBody+1)
+	big := fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n", maxBodySize+1)
 	const good = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"
 	for _, c := range []struct {
 		answer string
@@ -78,15 +78,15 @@
 		{big + "ok", policy.ServerError},
 		{"HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nok", policy.Reset},     // ends early
 		{"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok" + good, policy.OK}, // a second copy behind
-		{strings.Repeat("HTTP/1.1 100 C\r\n\r\n", maxInterim) + good, policy.OK},
-		{strings.Repeat("HTTP/1.1 100 C\r\n\r\n", maxInterim+1) + good, policy.ServerError},
+		{strings.Repeat("HTTP/1.1 100 C\r\n\r\n", maxInterimResponses) + good, policy.OK},
+		{strings.Repeat("HTTP/1.1 100 C\r\n\r\n", maxInterimResponses+1) + good, policy.ServerError},
 		{"HTTP/1.1 101 S\r\nUpgrade: x\r\n\r\n" + good, policy.ServerError},
 		{"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok, and more", policy.ServerError}, // the length is too small
 		{"HTTP/1.1 200 OK\r\n\r\nok", policy.OK},                                         // ends with the connection
 		{"HTTP/1.1 304 N\r\nContent-Length: 9\r\n\r\n", policy.ServerError},              // has no body
 		{"HTTP/1.1 200 OK\r\nContent-Length: -2\r\n\r\nok", policy.ServerError},
 		{"HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\nok", policy.ServerError},
-		{"HTTP/1.1 200 OK\r\nX: " + strings.Repeat("x", 2*maxHeader), policy.ServerError},
+		{"HTTP/1.1 200 OK\r\nX: " + strings.Repeat("x", 2*maxHeaderBytes), policy.ServerError},
 		{"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nok\r\n0\r\n\r\n", policy.OK},
 		{"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\nzz\r\nok\r\n0\r\n\r\n", policy.ServerError},
 		{"\x00\x01\xff noise\r\n\r\n", policy.ServerError},
@@ -143,7 +143,7 @@
 		if r := ended(t, u, testClientRequest(method, "r1", "")); r.code != policy.OK {
 			t.Fatalf("%s: first code %v", method, r.code)
 		}
-		time.Sleep(2 * restFor)
+		time.Sleep(2 * reuseDelay)
 		if r := ended(t, u, testClientRequest(method, "r2", "")); r.code != policy.Reset {
 			t.Errorf("%s: code %v, want a reset", method, r.code)
 		}
@@ -170,8 +170,8 @@
 		t.Fatal(err)
 	}
 	p := u.pools["s0"]
-	u.setIdle(p, []*conn{{TCPConn: tcp.(*net.TCPConn), pool: p, used: time.Now().Add(-time.Second)}})
-	u.open = 1
+	u.setIdle(p, []*serverConn{{TCPConn: tcp.(*net.TCPConn), pool: p, lastUsed: time.Now().Add(-time.Second)}})
+	u.openConns = 1
 	if r := ended(t, u, testClientRequest(http.MethodPost, "r1", "body")); r.code != policy.ConnectFailed {
 		t.Errorf("code %v, want could not connect", r.code)
 	}
@@ -193,7 +193,7 @@
 		ctx, cancel := context.WithCancel(t.Context())
 		defer cancel()
 		until := time.Now().Add(left)
-		done := make(chan result, 1)
+		done := make(chan attemptResult, 1)
 		go func() { done <- attemptAt(ctx, u, "s0", testClientRequest(http.MethodGet, "r1", ""), until) }()
 		receive(t, "the request", got)
 		if want == policy.Cancelled {
@@ -244,21 +244,21 @@
 	u := testUpstream(t, addr)
 	for i := range 3 {
 		ended(t, u, testClientRequest(http.MethodGet, fmt.Sprint("r", i), ""))
-		time.Sleep(2 * restFor)
+		time.Sleep(2 * reuseDelay)
 	}
 	if n := conns.Load(); n != 1 {
 		t.Errorf("%d connections for three requests in turn", n)
 	}
-	u.sweep(time.Now().Add(u.idleFor - time.Second))
+	u.sweep(time.Now().Add(u.idleTimeout - time.Second))
 	if _, idle := u.counts("s0"); idle != 1 {
 		t.Errorf("%d idle connections before their time is up, want 1", idle)
 	}
-	u.sweep(time.Now().Add(u.idleFor + time.Second))
+	u.sweep(time.Now().Add(u.idleTimeout + time.Second))
 	if open, idle := u.counts("s0"); open != 0 || idle != 0 {
 		t.Errorf("%d open, %d idle after the sweep", open, idle)
 	}
-	if u.idleFor > 30*time.Second {
-		t.Errorf("idle connections are kept for %v, too near the settings' 60 s", u.idleFor)
+	if u.idleTimeout > 30*time.Second {
+		t.Errorf("idle connections are kept for %v, too near the settings' 60 s", u.idleTimeout)
 	}
 }
 
@@ -287,12 +287,12 @@
 	slow := httpServer(t, func(http.ResponseWriter, *http.Request) { <-hold })
 	fast := httpServer(t, func(http.ResponseWriter, *http.Request) {})
 	u := testUpstream(t, fast, slow)
-	u.most = 1
+	u.maxOpen = 1
 	if r := ended(t, u, testClientRequest(http.MethodGet, "r1", "")); r.code != policy.OK {
 		t.Fatalf("code %v", r.code)
 	}
 	// The idle connection to the first server makes room for one to the second.
-	done := make(chan result, 1)
+	done := make(chan attemptResult, 1)
 	go func() {
 		done <- attemptAt(t.Context(), u, "s1", testClientRequest(http.MethodGet, "r2", ""), time.Now().Add(long))
 	}()
@@ -314,18 +314,18 @@
 	restarted.UpSince = 5
 	removed.Availability = policy.Removed
 	for name, c := range map[string]struct {
-		n    discovery.News
+		n    discovery.Update
 		want int
 	}{
-		"same":      {discovery.News{Kind: policy.ListUpdate, Members: []discovery.Member{base}}, 1},
-		"restarted": {discovery.News{Kind: policy.ListUpdate, Members: []discovery.Member{restarted}}, 0},
-		"removed":   {discovery.News{Kind: policy.ListUpdate, Members: []discovery.Member{removed}}, 0},
-		"no news":   {discovery.News{Kind: policy.ListUpdate}, 1},
-		"missing":   {discovery.News{Kind: policy.ListReplace}, 0},
+		"same":      {discovery.Update{Kind: policy.ListUpdate, Members: []discovery.Member{base}}, 1},
+		"restarted": {discovery.Update{Kind: policy.ListUpdate, Members: []discovery.Member{restarted}}, 0},
+		"removed":   {discovery.Update{Kind: policy.ListUpdate, Members: []discovery.Member{removed}}, 0},
+		"no news":   {discovery.Update{Kind: policy.ListUpdate}, 1},
+		"missing":   {discovery.Update{Kind: policy.ListReplace}, 0},
 	} {
 		u := testUpstream(t, addr)
 		ended(t, u, testClientRequest(http.MethodGet, "r1", ""))
-		u.update(c.n)
+		u.applyNewestList(c.n)
 		if open, _ := u.counts("s0"); open != c.want {
 			t.Errorf("%s: %d open, want %d", name, open, c.want)
 		}
@@ -334,12 +334,12 @@
 
 func TestReadsLoadReports(t *testing.T) {
 	names := []string{"util", "queue"}
-	if got := loadReport("inflight=7, queue=2,util=0.61", names); got[0] != 0.61 || got[1] != 2 {
+	if got := parseLoadReport("inflight=7, queue=2,util=0.61", names); got[0] != 0.61 || got[1] != 2 {
 		t.Errorf("got %v", got)
 	}
 	for _, text := range []string{"", "util=x,,=", "util=0.5", "util=NaN,queue=1", "util=Inf,queue=1",
 		"util=0.5,queue=-1", "util=0.5,queue=1e300", "util=0.5,util=0.6,queue=1", "util=0.5,queue=1,x=?"} {
-		if got := loadReport(text, names); got != nil {
+		if got := parseLoadReport(text, names); got != nil {
 			t.Errorf("%q: got %v, want none", text, got)
 		}
 	}
@@ -370,7 +370,7 @@
 			defer u.mu.Unlock()
 			return !isIdle(u.pools["s0"].idle[0].TCPConn)
 		})
-		time.Sleep(2 * restFor)
+		time.Sleep(2 * reuseDelay)
 		if r := ended(t, u, testClientRequest(http.MethodGet, "r2", "")); string(r.answer.body) != "2" {
 			t.Errorf("%q behind: answer %q, code %v", behind, r.answer.body, r.code)
 		}
@@ -407,10 +407,10 @@
 	u := testUpstream(t, addr)
 	next := members(t, addr)[0]
 	next.Server, next.UpSince = "s1", 5
-	u.update(discovery.News{Kind: policy.ListUpdate, Members: []discovery.Member{next}})
+	u.applyNewestList(discovery.Update{Kind: policy.ListUpdate, Members: []discovery.Member{next}})
 	late := members(t, addr)[0]
 	late.Availability = policy.Draining
-	u.update(discovery.News{Kind: policy.ListUpdate, Members: []discovery.Member{late}}) // of the old one, and late
+	u.applyNewestList(discovery.Update{Kind: policy.ListUpdate, Members: []discovery.Member{late}}) // of the old one, and late
 	if r := ended(t, u, testClientRequest(http.MethodGet, "r1", "")); r.code != policy.ConnectFailed {
 		t.Errorf("to the old server: code %v", r.code)
 	}
@@ -425,7 +425,7 @@
 func TestNothingIsSentToAServerThatBeganToLeave(t *testing.T) {
 	heard := make(chan struct{}, 10)
 	addr := httpServer(t, func(w http.ResponseWriter, _ *http.Request) { heard <- struct{}{} })
-	for what, end := range map[string]discovery.News{
+	for what, end := range map[string]discovery.Update{
 		"drains":      {Kind: policy.ListUpdate, Members: []discovery.Member{phased(t, addr, policy.Draining)}},
 		"is removed":  {Kind: policy.ListUpdate, Members: []discovery.Member{phased(t, addr, policy.Removed)}},
 		"is missing":  {Kind: policy.ListReplace},
@@ -442,11 +442,11 @@
 				}
 				return net.Dial(network, to)
 			}
-			ends := make(chan result, 1)
+			ends := make(chan attemptResult, 1)
 			go func() { ends <- ended(t, u, testClientRequest(http.MethodGet, "a", "")) }()
 			receive(t, "the dial", dials)
-			u.update(end)
-			if r := receive(t, "the attempt's end", ends); r.code != policy.ConnectFailed || r.err != errLeaving {
+			u.applyNewestList(end)
+			if r := receive(t, "the attempt's end", ends); r.code != policy.ConnectFailed || r.err != errServerLeaving {
 				t.Errorf("%s while dialling: %v, %v", what, r.code, r.err)
 			}
 			if open, _ := u.counts("s0"); open != 0 {
@@ -455,14 +455,14 @@
 		}
 	}
 	u := testUpstream(t, addr)
-	u.update(discovery.News{Kind: policy.ListUpdate, Members: []discovery.Member{phased(t, addr, policy.Draining)}})
-	if r := ended(t, u, testClientRequest(http.MethodGet, "b", "")); r.code != policy.ConnectFailed || r.err != errLeaving || r.opened {
+	u.applyNewestList(discovery.Update{Kind: policy.ListUpdate, Members: []discovery.Member{phased(t, addr, policy.Draining)}})
+	if r := ended(t, u, testClientRequest(http.MethodGet, "b", "")); r.code != policy.ConnectFailed || r.err != errServerLeaving || r.opened {
 		t.Errorf("draining already: %v, %v, opened %v", r.code, r.err, r.opened)
 	}
 	if len(heard) > 0 {
 		t.Error("a request reached the server")
 	}
-	u.update(discovery.News{Kind: policy.ListUpdate, Members: []discovery.Member{phased(t, addr, policy.Running)}})
+	u.applyNewestList(discovery.Update{Kind: policy.ListUpdate, Members: []discovery.Member{phased(t, addr, policy.Running)}})
 	if r := ended(t, u, testClientRequest(http.MethodGet, "c", "")); r.code != policy.OK {
 		t.Errorf("up again: %v, %v", r.code, r.err)
 	}
@@ -473,10 +473,10 @@
 	began, finish := make(chan struct{}, 1), make(chan struct{})
 	addr := httpServer(t, func(w http.ResponseWriter, _ *http.Request) { began <- struct{}{}; <-finish })
 	u := testUpstream(t, addr)
-	ends := make(chan result, 1)
+	ends := make(chan attemptResult, 1)
 	go func() { ends <- ended(t, u, testClientRequest(http.MethodGet, "a", "")) }()
 	receive(t, "the request", began)
-	u.update(discovery.News{Kind: policy.ListUpdate, Members: []discovery.Member{phased(t, addr, policy.Draining)}})
+	u.applyNewestList(discovery.Update{Kind: policy.ListUpdate, Members: []discovery.Member{phased(t, addr, policy.Draining)}})
 	close(finish)
 	if r := receive(t, "the attempt's end", ends); r.code != policy.OK {
 		t.Errorf("%v, %v", r.code, r.err)
@@ -494,7 +494,7 @@
 // behind bytes that would do as a whole one. The attempt may have run, and its connection is not used again.
 func TestResetIsNoEndOfAnAnswer(t *testing.T) {
 	for _, part := range []string{"", "HTT", "HTTP/1.1 2", "HTTP/1.1 200 OK\r\nContent-Le", "HTTP/1.1 200 OK\r\n\r\n",
-		"HTTP/1.1 200 OK\r\n\r\nok", "HTTP/1.1 200 OK\r\nConnection: close\r\n\r\n" + strings.Repeat("ok", wholeBody),
+		"HTTP/1.1 200 OK\r\n\r\nok", "HTTP/1.1 200 OK\r\nConnection: close\r\n\r\n" + strings.Repeat("ok", maxSmallBody),
 		"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nok\r\n"} {
 		addr := rawServer(t, func(c net.Conn, r *bufio.Reader) {
 			if swallow(r) {
@@ -503,7 +503,7 @@
 			}
 		})
 		u := testUpstream(t, addr)
-		ending := make(chan result, 1)
+		ending := make(chan attemptResult, 1)
 		go func() { ending <- ended(t, u, testClientRequest(http.MethodGet, "r1", "")) }()
 		if r := receive(t, "the outcome", ending); r.code != policy.Reset && r.code != policy.ServerError {
 			t.Errorf("%.40q: code %v, want one that fails and may have run", part, r.code)
@@ -528,11 +528,11 @@
 		{[]time.Duration{time.Second, 20 * time.Millisecond, 9 * time.Millisecond, 5 * time.Millisecond}, 1},
 		{[]time.Duration{time.Second, 20 * time.Millisecond}, 1},
 	} {
-		p := &pool{}
+		p := &connPool{}
 		for _, ago := range c.ago {
-			p.idle = append(p.idle, &conn{used: now.Add(-ago)})
+			p.idle = append(p.idle, &serverConn{lastUsed: now.Add(-ago)})
 		}
-		if got := p.reusable(now); got != c.want {
+		if got := p.reusableIndex(now); got != c.want {
 			t.Errorf("idle for %v: number %d goes first, want %d", c.ago, got, c.want)
 		}
 	}
@@ -591,7 +591,7 @@
 		u.mu.Lock()
 		defer u.mu.Unlock()
 		for _, c := range u.pools["s0"].idle {
-			c.used = time.Now().Add(-d)
+			c.lastUsed = time.Now().Add(-d)
 		}
 	}
 	request("r1") // behind it comes the stray answer, at once or later
@@ -601,10 +601,10 @@
 		return idle == 0
 	})
 	request("r2")
-	restedFor(restLong)
+	restedFor(preferredReuseDelay)
 	request("r3")
 	if n := accepted.Load(); n != 3 {
-		t.Errorf("%d connections, want a third, for the second rested for %v only", n, restLong)
+		t.Errorf("%d connections, want a third, for the second rested for %v only", n, preferredReuseDelay)
 	}
 	restedFor(time.Second)
 	request("r4")
@@ -619,21 +619,21 @@
 	if r := ended(t, u, testClientRequest(http.MethodGet, "r1", "")); r.code != policy.OK {
 		t.Fatal(r.code, r.err)
 	}
-	used := time.Now().Add(-u.idleFor / 2)
+	used := time.Now().Add(-u.idleTimeout / 2)
 	u.mu.Lock()
-	u.pools["s0"].idle[0].used = used
+	u.pools["s0"].idle[0].lastUsed = used
 	u.mu.Unlock()
 	left, leave := context.WithCancel(t.Context())
 	leave()
-	var got result
-	u.attempt(t.Context(), "s0", testClientRequest(http.MethodGet, "r2", ""), attemptHost{until: time.Now().Add(long), left: left,
-		uploaded: func(time.Duration) {}, end: func(r result) { got = r }})
+	var got attemptResult
+	u.sendAttempt(t.Context(), "s0", testClientRequest(http.MethodGet, "r2", ""), attemptParams{deadline: time.Now().Add(long), clientGone: left,
+		onUploaded: func(time.Duration) {}, onEnd: func(r attemptResult) { got = r }})
 	if got.code != policy.Cancelled {
 		t.Errorf("an attempt whose client has left: %v, %v", got.code, got.err)
 	}
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	if idle := u.pools["s0"].idle; len(idle) != 1 || !idle[0].used.Equal(used) || idle[0].uses != 1 {
-		t.Errorf("%d connections idle, the first used %v later, %d uses", len(idle), idle[0].used.Sub(used), idle[0].uses)
+	if idle := u.pools["s0"].idle; len(idle) != 1 || !idle[0].lastUsed.Equal(used) || idle[0].requests != 1 {
+		t.Errorf("%d connections idle, the first used %v later, %d uses", len(idle), idle[0].lastUsed.Sub(used), idle[0].requests)
 	}
 }
--- a/internal/soak/run.go
+++ b/internal/soak/run.go
@@ -136,7 +136,7 @@
 		binary: r.settings.Binary, env: r.settings.Env, logPipe: r.plan.Strikes(number, LogClosed, LogStalled)}
 	if text, faulty := r.plan.Faults[number]; faulty {
 		n.binary = r.settings.Faulty
-		n.env = append(slices.Clone(n.env), faultpoint.Variable+"="+text)
+		n.env = append(slices.Clone(n.env), faultpoint.EnvVar+"="+text)
 	}
 	if err := os.MkdirAll(n.dir, 0o700); err != nil {
 		return err
--- a/internal/syserr/syserr.go
+++ b/internal/syserr/syserr.go
@@ -1,4 +1,4 @@
-// Package syserr sorts the errors of system calls by whose fault they are, and by whether they pass.
+// Package syserr classifies the errors of system calls by origin and by whether they are temporary, and retries calls.
 package syserr
 
 import (
@@ -9,27 +9,27 @@
 	"time"
 )
 
-// Class is what a system call's error tells.
+// Class is the classification of a system call's error.
 type Class int
 
-// The classes, for calls as the manual pages accept(2), connect(2), socket(2), recv(2), send(2) and open(2) tell of them.
+// The classes, after the manual pages accept(2), connect(2), socket(2), recv(2), send(2) and open(2).
 const (
-	Other   Class = iota // not from a system call, or not known
-	Passing              // the same call may succeed at once
-	OwnLack              // this machine or process lacks something for a moment: descriptors, buffers, ports, a route
-	Peer                 // the other side, or the way to it, is to blame
-	Final                // the descriptor is closed, or the call makes no sense: it fails for ever
+	Other         Class = iota // not from a system call, or unknown
+	Transient                  // the same call may succeed at once
+	LocalShortage              // this machine or process is temporarily short of descriptors, buffers, ports, a route or the like
+	Peer                       // caused by the peer or the path to it
+	Permanent                  // the descriptor is closed or the call is invalid: retrying can't succeed
 )
 
-// String is the class's name in logs.
+// String returns the class's name in logs.
 func (c Class) String() string {
 	return [...]string{"other", "passing", "own lack", "peer", "final"}[c]
 }
 
-// Classify sorts an error, which may be wrapped.
+// Classify returns the class of an error, which may be wrapped.
 func Classify(err error) Class {
 	if errors.Is(err, net.ErrClosed) {
-		return Final
+		return Permanent
 	}
 	var code syscall.Errno
 	if !errors.As(err, &code) {
@@ -37,50 +37,50 @@
 	}
 	switch code {
 	case syscall.EINTR, syscall.EAGAIN, syscall.ECONNABORTED:
-		return Passing
+		return Transient
 	case syscall.EMFILE, syscall.ENFILE, syscall.ENOBUFS, syscall.ENOMEM, syscall.EADDRNOTAVAIL, syscall.ENETDOWN,
 		syscall.ENETUNREACH, syscall.ENOSPC, syscall.EDQUOT, syscall.EIO, syscall.EPERM, syscall.ENOSR:
-		return OwnLack
+		return LocalShortage
 	case syscall.ECONNREFUSED, syscall.ECONNRESET, syscall.EPIPE, syscall.ETIMEDOUT, syscall.EHOSTUNREACH, syscall.EHOSTDOWN,
 		syscall.EPROTO, syscall.ENOPROTOOPT, syscall.EOPNOTSUPP, syscall.ENONET, syscall.ENETRESET:
 		return Peer
 	case syscall.EBADF, syscall.EINVAL, syscall.ENOTSOCK, syscall.EFAULT, syscall.ENOTCONN, syscall.EADDRINUSE, syscall.EACCES:
-		return Final
+		return Permanent
 	}
 	return Other
 }
 
-// Passes tells whether the same call is worth another try: the error is a moment's.
-func Passes(err error) bool {
+// Retryable reports whether the error is temporary, so that the same call is worth retrying.
+func Retryable(err error) bool {
 	c := Classify(err)
-	return c == Passing || c == OwnLack
+	return c == Transient || c == LocalShortage
 }
 
-// Backoff is the pause between tries of a call whose errors pass: First, doubled each time, up to Most.
+// Backoff yields the pauses between retries of a call: Initial, doubled each time, up to Max.
 type Backoff struct {
-	First, Most time.Duration
-	last        time.Duration
+	Initial, Max time.Duration
+	last         time.Duration
 }
 
-// Next returns the pause before the next try.
+// Next returns the pause before the next retry.
 func (b *Backoff) Next() time.Duration {
-	b.last = min(b.Most, max(b.First, 2*b.last))
+	b.last = min(b.Max, max(b.Initial, 2*b.last))
 	return b.last
 }
 
-// Reset begins anew, after a try that succeeded.
+// Reset starts again from Initial, after a call that succeeded.
 func (b *Backoff) Reset() { b.last = 0 }
 
-// Retry tries a call again for as long as its errors pass, up to the given time from now or the end of ctx, and returns
-// the last error; nil once a try has succeeded.
-func Retry(ctx context.Context, within time.Duration, pauses Backoff, try func() error) error {
-	for late := time.Now().Add(within); ; {
-		err := try()
-		if err == nil || !Passes(err) || ctx.Err() != nil || time.Now().After(late) {
+// Retry calls f until it succeeds, its error isn't retryable, the given time has passed or ctx has ended, and returns the
+// last error, or nil after a success.
+func Retry(ctx context.Context, within time.Duration, backoff Backoff, f func() error) error {
+	for deadline := time.Now().Add(within); ; {
+		err := f()
+		if err == nil || !Retryable(err) || ctx.Err() != nil || time.Now().After(deadline) {
 			return err
 		}
 		select {
-		case <-time.After(pauses.Next()):
+		case <-time.After(backoff.Next()):
 		case <-ctx.Done():
 			return err
 		}
--- a/internal/wire/decode.go
+++ b/internal/wire/decode.go
@@ -108,7 +108,7 @@
 	case "reminder":
 		l.Event = policy.Timer{Token: f.uint(1, "token")}
 	case "lapsed":
-		l.Event = policy.Lapsed{ID: f.str(1, "ticket")}
+		l.Event = policy.ClientGone{ID: f.str(1, "ticket")}
 	case "headers":
 		l.Event = policy.FirstByte{ID: f.str(1, "ticket"), Attempt: f.int(2, "roundNo"),
 			Latency: f.ms(3, "waitTime"), Server: f.name(4, "server")}
@@ -132,7 +132,7 @@
 func (f *fields) request() policy.Request {
 	return policy.Request{
 		ID: f.str(1, "ticket"), Class: f.name(2, "cls"), Tenant: f.optName(3, "team"),
-		Key: f.optStr(4, "object"), ExpiresIn: f.ms(5, "expiresIn"), Hint: f.optMs(6, "effort"),
+		Key: f.optStr(4, "object"), ExpiresIn: f.ms(5, "expiresIn"), CostHint: f.optMs(6, "effort"),
 		Retry: f.optBool(7, "isRetry"), Write: f.optBool(8, "update"),
 	}
 }
--- a/internal/wire/encode.go
+++ b/internal/wire/encode.go
@@ -11,7 +11,7 @@
 // names of the actions on the wire, by kind.
 var actionNames = [...]string{
 	policy.Send: "handOff", policy.Refuse: "notNow", policy.Fail: "abort", policy.Cancel: "stopAttempt",
-	policy.SetTimer: "wakeMe", policy.Probe: "poll", policy.Tell: "announce", policy.CloseIdle: "freeLinks",
+	policy.SetTimer: "wakeMe", policy.Probe: "poll", policy.SendToPeer: "announce", policy.CloseIdle: "freeLinks",
 	policy.Log: "sayLog", policy.WatchList: "listen", policy.FetchList: "readList",
 }
 
@@ -40,7 +40,7 @@
 		b = strconv.AppendUint(append(appendMs(b, a.Wait), ','), a.Token, 10)
 	case policy.Probe, policy.CloseIdle:
 		b = appendString(b, a.Server)
-	case policy.Tell:
+	case policy.SendToPeer:
 		b = appendString(strconv.AppendInt(append(b, ','), int64(a.Peer), 10), a.Text)
 	case policy.Log:
 		b = appendString(b, a.Text)
--- a/internal/wire/settings.go
+++ b/internal/wire/settings.go
@@ -149,14 +149,14 @@
 		return err
 	}
 	rest := []byte{'{'}
-	err := field.Object(from, func(key string) error {
+	err := field.DecodeObject(from, func(key string) error {
 		switch key {
 		case "services":
-			return field.Array(from, key, func(i int) error {
+			return field.DecodeArray(from, key, func(i int) error {
 				return entry(key, i, func(o object) { classes = append(classes, class(o)) })
 			})
 		case "tenants":
-			return field.Array(from, key, func(i int) error {
+			return field.DecodeArray(from, key, func(i int) error {
 				return entry(key, i, func(o object) { tenants = append(tenants, tenant(o)) })
 			})
 		}
@@ -204,8 +204,8 @@
 	g := o.sub("guarantees")
 	s.Rules = policy.Rules{
 		AnswerGrace: g.ms("graceToAnswer"), DrainGrace: g.ms("drainGrace"), ColdShare: g.num("coldShare"),
-		ColdFor: g.ms("cold"), FallMultiple: g.num("fallMultiple"), FallFor: g.ms("overloadFor"),
-		AskWithin: g.ms("mustAskIn"), Attempts: budget(g),
+		ColdFor: g.ms("cold"), OverloadMultiple: g.num("fallMultiple"), OverloadFor: g.ms("overloadFor"),
+		ListRefreshWithin: g.ms("mustAskIn"), AttemptBudget: budget(g),
 	}
 	s.Report = o.sub("report").strs("fields")
 	return s, err
@@ -225,10 +225,10 @@
 }
 
 // budget reads the rule on further attempts, which holds where any of its figures is present.
-func budget(g object) *policy.Budget {
+func budget(g object) *policy.AttemptBudget {
 	number := fastjson.TypeNumber
 	if g.get("minExtra", number) == nil && g.get("budgetShare", number) == nil && g.get("ratioSpan", number) == nil {
 		return nil
 	}
-	return &policy.Budget{Least: g.num("minExtra"), Share: g.num("budgetShare"), Span: g.ms("ratioSpan")}
+	return &policy.AttemptBudget{MinExtra: g.num("minExtra"), ExtraShare: g.num("budgetShare"), Span: g.ms("ratioSpan")}
 }
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -39,10 +39,10 @@
 		{`["eob"]`, Line{Kind: EndBatch}},
 		{`["shutdown",3]`, Line{Kind: Shutdown, Node: 3}},
 		{`["reminder",3,9223372036854775808]`, Line{Kind: Event, Node: 3, Event: policy.Timer{Token: 1 << 63}}},
-		{`["lapsed",5,"id"]`, Line{Kind: Event, Node: 5, Event: policy.Lapsed{ID: "id"}}},
+		{`["lapsed",5,"id"]`, Line{Kind: Event, Node: 5, Event: policy.ClientGone{ID: "id"}}},
 		{`["ingress",3,"id","c","t","k",240.0,12.0,true,true,"later"]`, Line{Kind: Event, Node: 3,
 			Event: policy.Request{ID: "id", Class: "c", Tenant: "t", Key: "k", ExpiresIn: 240 * ms,
-				Hint: 12 * ms, Retry: true, Write: true}}},
+				CostHint: 12 * ms, Retry: true, Write: true}}},
 		{`["ingress",3,"id","c",null,null,240]`, Line{Kind: Event, Node: 3,
 			Event: policy.Request{ID: "id", Class: "c", ExpiresIn: 240 * ms}}},
 		{`["completed",3,"id",1,"s1","busy",18.5,false,[0.5,14.5]]`, Line{Kind: Event, Node: 3,
@@ -91,7 +91,7 @@
 		Tenants:     []policy.Tenant{{Name: "t", Quota: 42, Share: 0.4}},
 		Allowed:     policy.Allowed{MaxAttempts: 4, Cancel: true, ConnIdle: 5 * time.Second},
 		Rules: policy.Rules{ColdShare: 0.17, ColdFor: 23 * time.Second,
-			Attempts: &policy.Budget{Least: 5, Share: 0.15, Span: 5 * time.Second}}, Report: []string{"util"}}
+			AttemptBudget: &policy.AttemptBudget{MinExtra: 5, ExtraShare: 0.15, Span: 5 * time.Second}}, Report: []string{"util"}}
 	if l.Seed != 7 || !reflect.DeepEqual(l.Settings, want) {
 		t.Errorf("got seed %d, %+v\nwant %+v", l.Seed, l.Settings, want)
 	}
@@ -181,7 +181,7 @@
 		{policy.Action{Kind: policy.SetTimer, Wait: 500 * ms, Token: 77}, `["wakeMe",3,500,77]`},
 		{policy.Action{Kind: policy.Probe, Server: "s"}, `["poll",3,"s"]`},
 		{policy.Action{Kind: policy.CloseIdle, Server: "s"}, `["freeLinks",3,"s"]`},
-		{policy.Action{Kind: policy.Tell, Peer: -1, Text: "a\nb"}, `["announce",3,-1,"a\nb"]`},
+		{policy.Action{Kind: policy.SendToPeer, Peer: -1, Text: "a\nb"}, `["announce",3,-1,"a\nb"]`},
 		{policy.Action{Kind: policy.Log, Text: "two"}, `["sayLog",3,"two"]`},
 		{policy.Action{Kind: policy.WatchList, On: true}, `["listen",3,true]`},
 		{policy.Action{Kind: policy.FetchList}, `["readList",3]`},
--- a/policy/admission.go
+++ b/policy/admission.go
@@ -5,32 +5,36 @@
 	"time"
 )
 
-// Admission: a token bucket for each tenant, and class where told (DESIGN).
+// Admission control: a token bucket for each tenant, or for each tenant and class where a class has its own limit
+// (see DESIGN).
 
 const (
-	rateWindow = time.Second // of limits made from quotas; also the retry-after of a quota of zero
-	burst      = 0.5         // seconds of a quota's rate in its bucket: the bursts within a share
-	minBurst   = 3           // tokens, so that a sliver of a quota still passes a few at once
-	maxBuckets = 4096        // of tenants that clients name freely; the rest of those share one bucket
-	// refillLoss makes up for the fractions lost in whole-token refill, which let Poisson arrivals pass
-	// only up to ln 2 of the rate. Far above it 1/(1/r + 1/a) still passes, of refill r and arrivals a.
-	refillLoss = 1 / math.Ln2
+	rateWindow   = time.Second // of limits derived from quotas; also the Retry-After for a quota of zero
+	burstSeconds = 0.5         // bucket size in seconds of the quota's rate: the burst allowed within a share
+	minBurst     = 3           // tokens; lets a few requests of a very small quota through at once
+	maxBuckets   = 4096        // for tenants not in the settings, whom clients name freely; the rest share one bucket
+	// refillCompensation makes up for the fractional tokens that whole-token refill discards: with Poisson arrivals
+	// only ln 2 of the rate would get through. With refill rate r and an arrival rate a far above it, 1/(1/r + 1/a)
+	// still does.
+	refillCompensation = 1 / math.Ln2
 )
 
-// refill adds the whole tokens of the time gone by, which resets the refill time, up to the burst.
+// refill adds the whole tokens earned since the last refill, up to burst. Adding any restarts the interval, so
+// fractions of a token are lost.
 func (k *bucket) refill(now Time, perSecond float64, burst int64) {
-	add := math.Floor((now - k.last).Seconds() * perSecond)
+	add := math.Floor((now - k.lastRefill).Seconds() * perSecond)
 	if add >= 1 {
-		k.tokens, k.last = min(burst, k.tokens+int64(min(add, float64(burst)))), now
+		k.tokens, k.lastRefill = min(burst, k.tokens+int64(min(add, float64(burst)))), now
 	}
 }
 
-// refilled tells whether k is full whatever the pace becomes: a new bucket in its place does the same.
-func (k *bucket) refilled(now Time, least float64, burst int64) bool {
-	return math.Floor((now-k.last).Seconds()*least) >= float64(max(1, burst-k.tokens))
+// refilled reports whether k is full whatever the pace becomes: at its minimum, tokens are refilled at minPerSecond. A
+// new, full bucket in its place would then behave the same.
+func (k *bucket) refilled(now Time, minPerSecond float64, burst int64) bool {
+	return math.Floor((now-k.lastRefill).Seconds()*minPerSecond) >= float64(max(1, burst-k.tokens))
 }
 
-// perSecond is the refill rate of a limit.
+// perSecond returns the refill rate of a limit.
 func (l Limit) perSecond() float64 {
 	if l.Window <= 0 {
 		return 0
@@ -38,7 +42,7 @@
 	return l.PerWindow / l.Window.Seconds()
 }
 
-// retryAfter is the wait, in whole seconds, that a refused client is told.
+// retryAfter returns the wait, in whole seconds, that a refused client is told.
 func (l Limit) retryAfter() time.Duration {
 	rate := l.perSecond()
 	if rate <= 0 {
@@ -47,50 +51,52 @@
 	return max(1, time.Duration(math.Ceil(min(1/rate, math.MaxInt32)))) * time.Second
 }
 
-// shareOf is this node's part of a quota that holds over all nodes.
-func (b *Balancer) shareOf(quota float64) Limit {
-	rate := quota / float64(b.set.Nodes) * refillLoss
+// nodeShare returns this node's share of a quota that applies to all nodes together.
+func (b *Balancer) nodeShare(quota float64) Limit {
+	rate := quota / float64(b.settings.Nodes) * refillCompensation
 	return Limit{PerWindow: rate * rateWindow.Seconds(), Window: rateWindow,
-		Burst: max(minBurst, int64(math.Ceil(rate*burst)))}
+		Burst: max(minBurst, int64(math.Ceil(rate*burstSeconds)))}
 }
 
-// limitFor resolves the layers: tenant's share or default, override for the class, platform maximum.
+// limitFor resolves the layers of limits: the override for the class, else the tenant's share or the default, all
+// capped by the platform maximum.
 func (b *Balancer) limitFor(tenant, class string) (l Limit, key bucketKey, ok bool) {
 	key.tenant = tenant
-	if o, found := b.set.Limits.PerClass[class]; found {
-		key.class, l, ok = class, o, true
-	} else if l, ok = b.tenants[tenant]; !ok && b.other != nil {
-		l, ok = *b.other, true
+	if override, found := b.settings.Limits.PerClass[class]; found {
+		key.class, l, ok = class, override, true
+	} else if l, ok = b.tenants[tenant]; !ok && b.defaultLimit != nil {
+		l, ok = *b.defaultLimit, true
 	}
-	if most := b.set.Limits.Max; most > 0 {
-		l.PerWindow, l.Burst = min(l.PerWindow, most), min(l.Burst, int64(most))
+	if platformMax := b.settings.Limits.Max; platformMax > 0 {
+		l.PerWindow, l.Burst = min(l.PerWindow, platformMax), min(l.Burst, int64(platformMax))
 	}
 	return l, key, ok
 }
 
-// mayOwn tells whether a bucket under key may be kept: of a tenant of the settings always, of others so many.
-func (b *Balancer) mayOwn(key bucketKey) bool {
-	return key == (bucketKey{}) || b.known(key.tenant) || b.lookedAt.unknown < maxBuckets
+// mayKeepBucket reports whether key may have a bucket: always if the tenant is in the settings or key is that of the
+// shared bucket, for other tenants while there are fewer than maxBuckets.
+func (b *Balancer) mayKeepBucket(key bucketKey) bool {
+	return key == (bucketKey{}) || b.isKnownTenant(key.tenant) || b.evictionRing.unknownTenants < maxBuckets
 }
 
-// admit takes a token, or says how long the client should wait.
+// admit takes a token, or returns how long the client should wait.
 func (b *Balancer) admit(tenant, class string) (bool, time.Duration) {
 	l, key, ok := b.limitFor(tenant, class)
 	if !ok {
 		return true, 0
 	}
-	b.forgetRefilled()
+	b.evictRefilled()
 	l.PerWindow *= b.pace
-	if b.buckets[key] == nil && !b.mayOwn(key) {
+	if b.buckets[key] == nil && !b.mayKeepBucket(key) {
 		key = bucketKey{}
 	}
 	k := b.buckets[key]
 	if k == nil {
-		k = b.keep(key, l.Burst, b.now)
+		k = b.setBucket(key, l.Burst, b.now)
 	}
 	k.refill(b.now, l.perSecond(), l.Burst)
 	if k.tokens <= 0 {
-		b.refused = true
+		b.bucketRefused = true
 		return false, l.retryAfter()
 	}
 	k.tokens--
@@ -98,26 +104,27 @@
 }
 
 func (b *Balancer) onRequest(e Request) {
-	if b.reqs[e.ID] != nil {
-		return // a duplicate of a request in hand
+	if b.requests[e.ID] != nil {
+		return // duplicate of a request in progress
 	}
 	c := b.classes[e.Class]
-	if c == nil { // not in the settings: one safe try, never repeated
-		c = &class{Class: Class{Aim: e.ExpiresIn, LateWorth: 1}, index: -1, open: &b.fleet}
+	if c == nil { // class not in the settings: never repeated once it may have run
+		c = &class{Class: Class{Aim: e.ExpiresIn, LateWorth: 1}, index: -1, eligible: &b.fleet}
 	}
 	r := &request{id: e.ID, class: c, deadline: b.now + e.ExpiresIn}
-	aim := c.Aim + time.Duration(c.AimStretch*float64(e.Hint)) - c.gone(e)
-	r.giveUp, r.worthTo = b.now+min(aim, e.ExpiresIn)/2, r.deadline // a late refusal costs the client its time
+	aim := c.Aim + time.Duration(c.AimStretch*float64(e.CostHint)) - c.elapsed(e)
+	// A late refusal costs the client its time, so requests are refused by half the aim.
+	r.refuseAt, r.usefulUntil = b.now+min(aim, e.ExpiresIn)/2, r.deadline
 	if c.LateWorth <= 0 {
-		r.worthTo = min(r.deadline, b.now+aim)
+		r.usefulUntil = min(r.deadline, b.now+aim)
 	}
-	if b.set.WarmKeys && e.Key != "" {
-		r.key = hash(e.Key)
+	if b.settings.WarmKeys && e.Key != "" {
+		r.keyHash = hash(e.Key)
 	}
-	b.reqs[r.id] = r
-	b.took = append(since(b.took, b.now-b.budget.Span+1), b.now)
-	b.trials = min(trialMost, b.trials+trialShare)
-	if b.spent(r) {
+	b.requests[r.id] = r
+	b.recentRequests = append(dropBefore(b.recentRequests, b.now-b.attemptBudget.Span+1), b.now)
+	b.savedTrials = min(maxSavedTrials, b.savedTrials+trialShare)
+	if b.limitReached(r) {
 		b.giveUp(r, "worth nothing any more")
 		return
 	}
@@ -125,58 +132,61 @@
 		b.refuse(r, wait, "bucket")
 		return
 	}
-	if b.queue.len() > 0 { // what room there is goes to those worth most; the newest of them tells nothing of it
+	// Capacity goes to the queued requests of highest worth first. The newest request is no evidence of capacity.
+	if b.queue.len() > 0 {
 		b.enqueue(r)
-		b.release()
+		b.dispatchQueued()
 		return
 	}
 	b.dispatch(r)
 }
 
 const (
-	goneSlack = 0.04 // part of the deadline that hosts may keep for themselves, and clients' clocks differ
-	tryShare  = 0.96 // part of the deadline up to which first tries are seen to wait for less than all of it
+	elapsedSlack       = 0.04 // fraction of the deadline for time that hosts reserve and for clock differences
+	perTryTimeoutShare = 0.96 // of the deadline: a first try that waits for less shows a per-try timeout
 )
 
-// gone is how long a retry's client has waited since its first try, at least: the aim counts from there.
-// A try waits for what is left of the deadline, or for less where clients give up single tries, and then
-// it tells nothing.
-func (c *class) gone(e Request) time.Duration {
+// elapsed returns how long, at least, the client of a retry has waited since its first try; the aim counts from there.
+// A try normally waits for the rest of the deadline. Where clients have a shorter per-try timeout, the wait says
+// nothing about earlier tries.
+func (c *class) elapsed(e Request) time.Duration {
 	if !e.Retry {
-		c.firstWait = e.ExpiresIn
+		c.lastFirstTryWait = e.ExpiresIn
 		return 0
 	}
-	slack := time.Duration(goneSlack * float64(c.Deadline))
-	single := c.firstWait < time.Duration(tryShare*float64(c.Deadline))
-	if c.firstWait == 0 || single && (e.ExpiresIn-c.firstWait).Abs() < slack {
+	slack := time.Duration(elapsedSlack * float64(c.Deadline))
+	perTryTimeout := c.lastFirstTryWait < time.Duration(perTryTimeoutShare*float64(c.Deadline))
+	if c.lastFirstTryWait == 0 || perTryTimeout && (e.ExpiresIn-c.lastFirstTryWait).Abs() < slack {
 		return 0
 	}
 	return max(0, c.Deadline-e.ExpiresIn-slack)
 }
 
 const (
-	paceGrow, paceCut = 0.02, 0.02 // steps of the bucket rates at each choice: half may find no room
-	paceLeast         = 0.3        // below, in-share traffic starves by faults that shedding can't mend
-	paceShare         = 1.5        // above, only while few answers are bad
-	paceBad           = 0.06       // of the answers; one within its aim isn't, however slow
-	paceMost          = 3.0        // above, there is little worth left to win
+	paceIncrease, paceDecrease = 0.02, 0.02 // steps of the bucket rates per choice; equal, so half may find no room
+	minPace                    = 0.3        // below, faults that shedding can't fix would starve traffic within its share
+	cautiousPace               = 1.5        // above, the pace only rises while few answers are bad
+	maxBadFraction             = 0.06       // fraction of answers; one within its aim isn't bad, however slow
+	maxPace                    = 3.0        // above, there is little worth left to gain
 )
 
-// follow scales all bucket rates alike by whether the servers have room: without it a slowdown of the
-// fleet sheds nothing, and a node that sees more than its even part of a quota refuses in-share traffic.
-func (b *Balancer) follow(room bool) {
+// adjustPace scales all bucket rates alike by whether the servers have room. Without it, a slowdown of the whole fleet
+// would shed no load, and a node that receives more than its even share of a quota would refuse traffic within the
+// share.
+func (b *Balancer) adjustPace(room bool) {
 	switch {
-	case !room && b.pace <= 1 && b.shedEarly():
+	case !room && b.pace <= 1 && b.serversShedEarly():
 	case !room:
-		least := paceLeast
-		if b.many() { // one node is full by chance time and again, and sees too little to raise its rates in time
-			least = 1
+		minimum := minPace
+		// With many nodes, one node is often full by chance and sees too few requests to raise its rates in time.
+		if b.oversubscribed() {
+			minimum = 1
 		}
-		b.pace = max(least, b.pace*(1-paceCut))
-	case b.pace > paceShare && b.bad > paceBad:
-		b.pace *= 1 - paceCut
-	case b.refused && (b.pace < paceShare || b.bad < paceBad): // only a rate that was felt is raised
-		b.pace = min(paceMost, b.pace*(1+paceGrow))
+		b.pace = max(minimum, b.pace*(1-paceDecrease))
+	case b.pace > cautiousPace && b.badFraction > maxBadFraction:
+		b.pace *= 1 - paceDecrease
+	case b.bucketRefused && (b.pace < cautiousPace || b.badFraction < maxBadFraction): // only a limit that refused something is raised
+		b.pace = min(maxPace, b.pace*(1+paceIncrease))
 	}
-	b.refused = false
+	b.bucketRefused = false
 }
--- a/policy/balancer.go
+++ b/policy/balancer.go
@@ -4,46 +4,46 @@
 	"math/rand/v2"
 )
 
-// New returns a node's decisions for the given settings. The seed drives its random choices.
+// New returns the decision state of one node for the given settings. The seed drives its random choices.
 func New(set Settings, now Time, seed uint64) (*Balancer, error) {
 	if err := set.Validate(); err != nil {
 		return nil, err
 	}
 	b := &Balancer{
-		set: set, now: now, rng: rand.New(rand.NewPCG(seed, uint64(set.Node))),
+		settings: set, now: now, rng: rand.New(rand.NewPCG(seed, uint64(set.Node))),
 		classes: make(map[string]*class), tenants: make(map[string]Limit, len(set.Tenants)),
-		buckets: make(map[bucketKey]*bucket), pace: 1, trust: 1, blame: 1, ease: 1, trials: trialMost, processes: 1,
-		rates:   make(map[string]float64),
-		servers: make(map[string]*server), reqs: make(map[string]*request), budget: defaultBudget,
-		index: newIndex(),
+		buckets: make(map[bucketKey]*bucket), pace: 1, sharedThresholdScale: 1, faultWeight: 1, fairShareScale: 1, savedTrials: maxSavedTrials, processCount: 1,
+		warmRates: make(map[string]float64),
+		servers:   make(map[string]*server), requests: make(map[string]*request), attemptBudget: defaultBudget,
+		serverIndex: newServerIndex(),
 	}
-	if set.Rules.Attempts != nil {
-		b.budget = *set.Rules.Attempts
+	if set.Rules.AttemptBudget != nil {
+		b.attemptBudget = *set.Rules.AttemptBudget
 	}
 	for i, c := range set.Classes {
 		if c.Aim == 0 {
 			c.Aim = c.Deadline
 		}
-		b.ranked = append(b.ranked, &class{Class: c, index: i, tail: c.Aim / 2})
-		b.classes[c.Name] = b.ranked[i]
-		b.bind(b.ranked[i])
-		b.longest = max(b.longest, c.Deadline)
+		b.classList = append(b.classList, &class{Class: c, index: i, tailLatency: c.Aim / 2})
+		b.classes[c.Name] = b.classList[i]
+		b.assignPool(b.classList[i])
+		b.maxDeadline = max(b.maxDeadline, c.Deadline)
 	}
-	b.other = set.Limits.Default
-	for _, t := range set.Tenants { // a tenant that nobody agreed a share with counts as the smallest
-		l := b.shareOf(t.Quota)
+	b.defaultLimit = set.Limits.Default
+	for _, t := range set.Tenants { // tenants without a quota get the smallest one's limit, unless there is a default
+		l := b.nodeShare(t.Quota)
 		b.tenants[t.Name] = l
-		if set.Limits.Default == nil && (b.other == nil || l.PerWindow < b.other.PerWindow) {
-			b.other = &l
+		if set.Limits.Default == nil && (b.defaultLimit == nil || l.PerWindow < b.defaultLimit.PerWindow) {
+			b.defaultLimit = &l
 		}
 	}
 	return b, nil
 }
 
-// Handle takes one event and returns the actions it calls for. The next call reuses the slice.
+// Handle processes one event and returns the resulting actions. The next call reuses the returned slice.
 func (b *Balancer) Handle(now Time, ev Event) []Action {
-	b.now, b.out = max(now, b.now), b.out[:0]
-	b.advance()
+	b.now, b.actions = max(now, b.now), b.actions[:0]
+	b.updateDueStatuses()
 	switch e := ev.(type) {
 	case Request:
 		b.onRequest(e)
@@ -51,18 +51,18 @@
 		b.onOutcome(e)
 	case FirstByte:
 		b.onFirstByte(e)
-	case Lapsed:
-		if r := b.reqs[e.ID]; r != nil {
+	case ClientGone:
+		if r := b.requests[e.ID]; r != nil {
 			b.end(r)
 		}
 	case Timer:
 		b.onTimer(e.Token)
 	case MemberList:
 		b.onList(e)
-	case Processes:
+	case ProcessCount:
 		b.setProcesses(max(1, e.N))
 	}
-	return b.out
+	return b.actions
 }
 
-func (b *Balancer) do(a Action) { b.out = append(b.out, a) }
+func (b *Balancer) emit(a Action) { b.actions = append(b.actions, a) }
--- a/policy/buckets_test.go
+++ b/policy/buckets_test.go
@@ -19,7 +19,7 @@
 	l.PerWindow *= b.pace
 	k := all[key]
 	if k == nil {
-		k = &bucket{tokens: l.Burst, last: b.now}
+		k = &bucket{tokens: l.Burst, lastRefill: b.now}
 		all[key] = k
 	}
 	k.refill(b.now, l.perSecond(), l.Burst)
@@ -49,9 +49,9 @@
 			b.now += time.Duration(rng.ExpFloat64() * 10 * float64(ms))
 			switch n := rng.IntN(100); {
 			case n < 3:
-				b.pace = paceLeast
+				b.pace = minPace
 			case n < 20:
-				b.pace = paceLeast + rng.Float64()*(paceMost-paceLeast)
+				b.pace = minPace + rng.Float64()*(maxPace-minPace)
 			}
 			if i%5000 == 4999 {
 				m, pace, now := b.Snapshot(b.now), b.pace, b.now
@@ -81,7 +81,7 @@
 // A bucket that was handed over full, with a refill time long gone or just now, is forgotten no sooner than it
 // does as a new one.
 func TestBucketHandedOverFullKeepsItsRefillTime(t *testing.T) {
-	k := bucket{tokens: 3, last: 0}
+	k := bucket{tokens: 3, lastRefill: 0}
 	if k.refilled(400*ms, 2, 3) {
 		t.Error("forgotten before a token's time has gone by: its next one would come later")
 	}
@@ -127,8 +127,8 @@
 		b.now += 100 * ms
 		b.admit(fmt.Sprint("t", i%10), "free")
 	}
-	if n := len(b.buckets); n > 15 || n != len(b.lookedAt.all) {
-		t.Errorf("%d buckets, %d in turn for a look, are kept for 10 tenants, %d before", n, len(b.lookedAt.all), full)
+	if n := len(b.buckets); n > 15 || n != len(b.evictionRing.all) {
+		t.Errorf("%d buckets, %d in turn for a look, are kept for 10 tenants, %d before", n, len(b.evictionRing.all), full)
 	}
 }
 
@@ -143,9 +143,9 @@
 	}
 	check := func(what string) {
 		t.Helper()
-		if n := len(b.buckets); n != maxBuckets+1 || b.lookedAt.unknown != maxBuckets {
+		if n := len(b.buckets); n != maxBuckets+1 || b.evictionRing.unknownTenants != maxBuckets {
 			t.Errorf("%s: %d buckets, %d of unknown tenants, want %d of those and one that the rest share", what, n,
-				b.lookedAt.unknown, maxBuckets)
+				b.evictionRing.unknownTenants, maxBuckets)
 		}
 	}
 	check("at first")
--- a/policy/cold_test.go
+++ b/policy/cold_test.go
@@ -67,7 +67,7 @@
 			} else {
 				f.other++
 			}
-			n := len(b.reqs[a.ID].attempts) - 1
+			n := len(b.requests[a.ID].attempts) - 1
 			latency := 80*time.Millisecond + time.Duration(f.rng.IntN(40))*time.Millisecond
 			f.later(latency, func() {
 				o := Outcome{ID: a.ID, Server: a.Server, Attempt: n, Code: OK, Ended: true, Latency: latency}
@@ -88,11 +88,11 @@
 	set, sum := f.set.Rules, 0.0
 	const steps = 20
 	for i := range steps {
-		age := end - set.FallFor + set.FallFor*time.Duration(i)/steps - started
+		age := end - set.OverloadFor + set.OverloadFor*time.Duration(i)/steps - started
 		part := min(1, set.ColdShare+(1-set.ColdShare)*max(0, age.Seconds())/set.ColdFor.Seconds())
 		sum += part / steps
 	}
-	return set.FallMultiple * sum * f.capacity * set.FallFor.Seconds()
+	return set.OverloadMultiple * sum * f.capacity * set.OverloadFor.Seconds()
 }
 
 // withChance is how many requests a cold server gets at most in a window in which the settings allow it n (terms).
@@ -127,7 +127,7 @@
 						for seed := range uint64(1) {
 							set := site(nodes)
 							set.Rules.ColdShare, set.Rules.ColdFor = 0.13, 24*time.Second
-							set.Rules.FallMultiple, set.Rules.FallFor = 2.5, 3*time.Second
+							set.Rules.OverloadMultiple, set.Rules.OverloadFor = 2.5, 3*time.Second
 							set.Report, set.Tenants = []string{"util", "qps"}, nil
 							f := &coldFleet{set: set, rng: rand.New(rand.NewPCG(seed, uint64(nodes))), reports: reports,
 								capacity: rate, failing: what == "fails", now: time.Minute}
@@ -181,20 +181,20 @@
 								case "two processes":
 									f.later(hear+2*time.Second, func() {
 										before := f.nodes[i]
-										f.tell(before, Processes{N: 2})
-										after, err := New(before.set, f.now, f.rng.Uint64())
+										f.tell(before, ProcessCount{N: 2})
+										after, err := New(before.settings, f.now, f.rng.Uint64())
 										if err != nil {
 											t.Fatal(err)
 										}
 										after.Restore(f.now, before.Snapshot(f.now), 0)
-										f.tell(after, Processes{N: 2})
+										f.tell(after, ProcessCount{N: 2})
 										f.tell(after, MemberList{Kind: ListRestored, Members: lists(started)})
 										turn := 0 // clients come to both for a while
 										f.nodes[i] = after
 										var share func()
 										share = func() {
 											if turn++; turn > 100 {
-												f.tell(after, Processes{N: 1})
+												f.tell(after, ProcessCount{N: 1})
 												f.nodes[i] = after
 												return
 											}
@@ -208,7 +208,7 @@
 							f.run(ends)
 							worst, worstAt, in := 0.0, time.Duration(0), 0
 							for i, at := range f.sends {
-								for f.sends[in] <= at-set.Rules.FallFor {
+								for f.sends[in] <= at-set.Rules.OverloadFor {
 									in++
 								}
 								if over := float64(i-in+1) / withChance(f.allowed(started, at)); over > worst {
@@ -240,8 +240,8 @@
 		var all []*Balancer
 		for range processes {
 			b := start(t, set, nil)
-			b.rates[""] = 50
-			b.Handle(up, Processes{N: processes})
+			b.warmRates[""] = 50
+			b.Handle(up, ProcessCount{N: processes})
 			b.Handle(up, MemberList{Kind: ListReplace, Members: list})
 			b.servers[coldName].cold.tokens = 0
 			b.servers[coldName].threshold = 1000
--- a/policy/connections.go
+++ b/policy/connections.go
@@ -5,55 +5,55 @@
 	"time"
 )
 
-// Connections: whether one that was idle is still there.
+// Connections: detects idle connections that were dropped without notice.
 
 const (
-	idleLeast = 250 * time.Millisecond // a connection unused for less counts as in use
-	idleGain  = 0.2                    // weight of one outcome in the part that went unanswered
-	idleBad   = 0.3                    // part from which connections idle for as long are not used again,
-	idleTimes = 3                      // if it is so many times that of connections in use
-	idleWear  = 0.98                   // what is left of the suspicion after each connection given up for it
+	minIdle       = 250 * time.Millisecond // a connection idle for less counts as in use
+	idleGain      = 0.2                    // weight of one outcome in the fraction of unanswered sends
+	idleMaxLoss   = 0.3                    // that fraction, from which connections idle for as long are not reused,
+	idleLossRatio = 3                      // if it is at least this multiple of that of connections in use
+	idleLossDecay = 0.98                   // factor on that fraction each time that connections are closed for it
 )
 
-// use notes that s has as many connections in use as attempts in flight.
-func (s *server) use(now Time) {
-	for len(s.used) < s.inflight {
-		s.used = append(s.used, now)
+// noteConnUse records that s has as many connections in use as attempts in flight.
+func (s *server) noteConnUse(now Time) {
+	for len(s.connLastUsed) < s.inflight {
+		s.connLastUsed = append(s.connLastUsed, now)
 	}
-	s.used[s.inflight-1] = now
+	s.connLastUsed[s.inflight-1] = now
 }
 
-// refreshIdle tells for how long the connection of the next send to s was idle, in octaves from idleLeast.
-// It guards against connections dropped unseen, by whatever stands between: where sends on those idle
-// for as long go unanswered far more often than others, they are closed first, and the send opens one
-// anew. Harm: handshakes, while the suspicion wears off.
-func (b *Balancer) refreshIdle(s *server) int {
-	if s.inflight >= len(s.used) {
+// prepareConn returns how long the connection for the next send to s was idle, in octaves from minIdle; 0 for one in
+// use or a new one. It guards against connections that something on the path dropped without notice: if sends on those
+// idle for as long go unanswered far more often than others, it closes them first, and the send opens a new one. The
+// cost is extra handshakes until the measured fraction has decayed.
+func (b *Balancer) prepareConn(s *server) int {
+	if s.inflight >= len(s.connLastUsed) {
 		return 0
 	}
-	gap := b.now - s.used[s.inflight]
-	if gap < idleLeast || b.set.Allowed.ConnIdle > 0 && gap >= b.set.Allowed.ConnIdle {
+	idle := b.now - s.connLastUsed[s.inflight]
+	if idle < minIdle || b.settings.Allowed.ConnIdle > 0 && idle >= b.settings.Allowed.ConnIdle {
 		return 0
 	}
-	octave := min(len(b.silent)-1, bits.Len64(uint64(gap/idleLeast)))
-	if b.silent[octave] < idleBad || b.silent[octave] < idleTimes*b.silent[0] {
+	octave := min(len(b.unansweredByIdle)-1, bits.Len64(uint64(idle/minIdle)))
+	if b.unansweredByIdle[octave] < idleMaxLoss || b.unansweredByIdle[octave] < idleLossRatio*b.unansweredByIdle[0] {
 		return octave
 	}
-	b.silent[octave] *= idleWear
+	b.unansweredByIdle[octave] *= idleLossDecay
 	b.closeIdle(s)
 	return 0
 }
 
 func (b *Balancer) closeIdle(s *server) {
-	s.used = s.used[:min(len(s.used), s.inflight)]
-	b.do(Action{Kind: CloseIdle, Server: s.Server})
+	s.connLastUsed = s.connLastUsed[:min(len(s.connLastUsed), s.inflight)]
+	b.emit(Action{Kind: CloseIdle, Server: s.Server})
 }
 
-// dropped learns from an outcome, and reports whether it says nothing of the server, for the attempt
-// went out on a connection that was idle and may be gone.
-func (b *Balancer) dropped(a *attempt, lost bool) bool {
-	track(&b.silent[a.idle], idleGain, lost)
-	lost = lost && a.idle > 0
+// recordIdleLoss learns from an outcome. It reports whether the loss says nothing about the server, since the attempt
+// was sent on a connection that was idle and may have been dropped.
+func (b *Balancer) recordIdleLoss(a *attempt, lost bool) bool {
+	updateAverage(&b.unansweredByIdle[a.idleOctave], idleGain, lost)
+	lost = lost && a.idleOctave > 0
 	if lost {
 		b.closeIdle(a.server)
 	}
--- a/policy/golden_test.go
+++ b/policy/golden_test.go
@@ -66,8 +66,8 @@
 		Tenants: []Tenant{{Name: "t", Quota: 3000 * float64(nodes)}, {Name: "u", Quota: 30 * float64(nodes)}},
 		Allowed: Allowed{Cancel: seed%7 != 0, Hedge: seed%6 != 0, MaxAttempts: 1 + int(seed%4)},
 		Rules: Rules{AnswerGrace: 5 * ms, DrainGrace: 500 * ms, ColdShare: []float64{0.1, 0.5, 1, 0}[seed/2%4],
-			ColdFor:      []time.Duration{2 * time.Second, 300 * ms, 10 * time.Second, 0}[seed/3%4],
-			FallMultiple: 2, FallFor: time.Second, AskWithin: 5 * time.Second}}
+			ColdFor:          []time.Duration{2 * time.Second, 300 * ms, 10 * time.Second, 0}[seed/3%4],
+			OverloadMultiple: 2, OverloadFor: time.Second, ListRefreshWithin: 5 * time.Second}}
 	for i := range []int{1, 7, 24, 60}[seed/3%4] {
 		c := Class{Name: fmt.Sprint("c", i), Aim: time.Duration(80+rng.IntN(200)) * ms, Deadline: 600 * ms,
 			Repeat: Repeat(rng.IntN(3)), Group: Group(rng.IntN(3)), Window: time.Duration(100+rng.IntN(400)) * ms,
@@ -254,7 +254,7 @@
 		g.news()
 	}
 	if g.rng.IntN(60) == 0 {
-		g.event(Processes{N: 1 + g.rng.IntN(2)})
+		g.event(ProcessCount{N: 1 + g.rng.IntN(2)})
 	}
 	for range g.rng.IntN(4) {
 		id := fmt.Sprint("r", len(g.open))
@@ -267,7 +267,7 @@
 		g.open[id] = &r
 		g.event(r)
 		if g.rng.IntN(40) == 0 {
-			g.later(ms, func() { g.event(Lapsed{ID: id}) })
+			g.later(ms, func() { g.event(ClientGone{ID: id}) })
 		}
 	}
 }
@@ -320,11 +320,11 @@
 // allOf is what String tells, of all servers as commit 6253ebd told of them, however many there are.
 func allOf(b *Balancer) string {
 	var t strings.Builder
-	fmt.Fprintf(&t, "pace=%.2f bad=%.2f full=%.2f lost=%.2f blame=%.2f held=%d extra=%d", b.pace, b.bad,
-		b.fullPart, b.lost, b.blame, b.queue.len(), len(b.extra))
+	fmt.Fprintf(&t, "pace=%.2f bad=%.2f full=%.2f lost=%.2f blame=%.2f held=%d extra=%d", b.pace, b.badFraction,
+		b.fullFraction, b.timeoutFraction, b.faultWeight, b.queue.len(), len(b.recentExtra))
 	for _, s := range b.order() {
 		fmt.Fprintf(&t, " %s=%d/%.1f", s.Server, s.inflight, b.limit(s))
-		if s.health.out {
+		if s.health.ejected {
 			t.WriteString("/out")
 		}
 	}
--- a/policy/index.go
+++ b/policy/index.go
@@ -8,142 +8,146 @@
 	"slices"
 )
 
-// Indexes of the servers in service, so that an event costs what it changes and not what the node knows
-// of; no decisions here. Only the methods of this file change them.
-
-// index is what a node keeps of all servers in service together.
-type index struct {
-	fleet    pool
-	bindings map[string]*pool // of the classes bound to kinds or zones, by these
-	byKind   map[string][]*pool
-	anyKind  []*pool // bound to zones alone
-	groups   map[groupKey]*group
-	zones    map[string]int // servers in service in each zone that has any
-	crowdOut int            // attempts held by the servers that crowds tells of,
-	crowdOf  int            // and how many these are
-	wakes    serverHeap     // by the time from which a server counts otherwise, though nothing happens
-	ring     []*server      // those whose state follows from figures of other servers too, looked at in turn
-	hand     int            // whose turn is next in it
-	byCell   bool           // some class may be repeated within a cell
-	lower    serverHeap     // the lower half of the faults of servers that answered, the greatest first,
-	upper    serverHeap     // and the others, the least first
-	lists    int            // whole lists heard, and one
-	roll     []*server      // as the last whole list has them, then those that came since; some are gone
-	past     []*server      // while a whole list is taken in, the roll before,
-	next     int            // whose turn is next in that,
-	left     int            // and how many listed ones of it weren't named yet
-	visits   *int           // entries looked at so far: tests hold this against the size
-}
-
-// indexed is what the indexes keep in each server. What a whole list asks for lies together.
-type indexed struct {
-	list   int  // the last whole list that named it, or came before it; 0: none yet
-	turn   int  // place in the roll
-	gone   bool // not listed any more
-	in     bool // in service: running and listed
-	group  *group
-	status status  // as the indexes have it
-	fault  float64 // faults as of its last rank
-	spots  [3]int  // place in each of the heaps, from 1; 0: in none
-	ringAt int     // place in the ring, from 1; 0: not in it
+// Indexes over the servers in service, so that the cost of an event depends on what it changes and not on the
+// size of the fleet. They make no decisions, and only the methods in this file modify them.
+
+// serverIndex holds the indexes over all servers in service.
+type serverIndex struct {
+	fleet            pool
+	poolsByBinding   map[string]*pool // pools of classes that are bound to kinds or zones, by the binding
+	poolsByKind      map[string][]*pool
+	poolsOfAnyKind   []*pool // pools of classes that are bound to zones only
+	groups           map[groupKey]*group
+	serversByZone    map[string]int // number of servers in service in each zone that has any
+	warmInFlight     int            // attempts held by warm servers that are not ejected
+	warmServers      int            // number of these servers
+	reevaluationHeap serverHeap     // by the time at which a server's status changes without an event
+	rotation         []*server      // servers whose status also depends on other servers, re-evaluated round-robin
+	rotationCursor   int            // round-robin position in rotation
+	splitByCell      bool           // some class may be repeated within a cell
+	lowerFaults      serverHeap     // max-heap of the lower half of the fault rates of servers that have answered
+	upperFaults      serverHeap     // min-heap of the upper half
+	listGeneration   int            // number of full lists received, plus 1
+	membershipOrder  []*server      // by the last full list, then by addition; may contain delisted servers
+	previousOrder    []*server      // while a full list is applied: membershipOrder before it
+	previousNext     int            // position in previousOrder of the next expected server
+	previousUnseen   int            // listed servers of previousOrder that the list has not named yet
+	visits           *int           // entries visited so far; tests compare it with the size
+}
+
+// indexEntry is the indexes' part of each server. The fields that are read while a full list is applied are
+// adjacent.
+type indexEntry struct {
+	generation       int  // listGeneration when a list last named it; 0: not yet
+	listPosition     int  // position in membershipOrder
+	delisted         bool // not listed any more
+	inService        bool // in service: running and listed
+	group            *group
+	status           status  // as indexed
+	rankedFaultRate  float64 // fault rate as of the last call of rankFaults
+	heapPositions    [3]int  // 1-based position in each of the heaps; 0: not in it
+	rotationPosition int     // 1-based position in serverIndex.rotation; 0: not in it
 }
 
 const (
-	inWakes = iota
-	inLower
-	inUpper
+	reevaluationHeapID = iota
+	lowerFaultsID
+	upperFaultsID
 )
 
-func newIndex() index {
-	x := index{bindings: make(map[string]*pool), byKind: make(map[string][]*pool),
-		groups: make(map[groupKey]*group), zones: make(map[string]int), lists: 1, visits: new(int)}
+func newServerIndex() serverIndex {
+	x := serverIndex{poolsByBinding: make(map[string]*pool), poolsByKind: make(map[string][]*pool),
+		groups: make(map[groupKey]*group), serversByZone: make(map[string]int), listGeneration: 1, visits: new(int)}
 	x.fleet = newPool(x.visits)
 	for _, h := range []struct {
 		heap *serverHeap
 		spot int
 		less func(s, t *server) bool
 	}{
-		{&x.wakes, inWakes, func(s, t *server) bool { return s.status.wake < t.status.wake }},
-		{&x.lower, inLower, func(s, t *server) bool { return s.fault > t.fault }},
-		{&x.upper, inUpper, func(s, t *server) bool { return s.fault < t.fault }},
+		{&x.reevaluationHeap, reevaluationHeapID, func(s, t *server) bool { return s.status.reevaluateAt < t.status.reevaluateAt }},
+		{&x.lowerFaults, lowerFaultsID, func(s, t *server) bool { return s.rankedFaultRate > t.rankedFaultRate }},
+		{&x.upperFaults, upperFaultsID, func(s, t *server) bool { return s.rankedFaultRate < t.rankedFaultRate }},
 	} {
-		*h.heap = serverHeap{spot: h.spot, less: h.less, visits: x.visits}
+		*h.heap = serverHeap{id: h.spot, less: h.less, visits: x.visits}
 	}
 	return x
 }
 
-// pool is the servers that the classes of one binding are open to, or those of them in one zone or cell.
+// pool holds the servers that the classes of one binding may use, or those of them in one zone or cell.
 type pool struct {
-	own, others part   // of this node's zone, and of the others
-	ejected     int    // servers of it that are ejected
-	named       bool   // classes of the settings are sent to it
-	safest      Repeat // of these classes
-	class       *class // the first of them, of one that is bound
+	ownZone, otherZones serverSet // servers in this node's zone, and in the others
+	ejectedCount        int       // number of ejected servers in the pool
+	hasClasses          bool      // at least one class of the settings uses the pool
+	mostRepeatable      Repeat    // highest Repeat of these classes
+	boundClass          *class    // first of these classes, if the pool has a binding
 
-	byZone, byCell bool             // what ran may be repeated within its zone, or its cell
-	zones          map[string]*pool // the parts of it for that
-	cells          map[int64]*pool
-	groups         int // of such a part: groups that lie in it
+	splitByZone, splitByCell bool             // a request that may have run can be repeated within its zone, or its cell
+	zonePools                map[string]*pool // the pool's servers by zone, for such repeats
+	cellPools                map[int64]*pool
+	groupCount               int // of a zone or cell pool: number of groups in it
 }
 
-func newPool(visits *int) pool { return pool{own: newPart(visits), others: newPart(visits)} }
+func newPool(visits *int) pool {
+	return pool{ownZone: newServerSet(visits), otherZones: newServerSet(visits)}
+}
 
-func (p *pool) len() int { return p.own.serving.len() + p.others.serving.len() }
+func (p *pool) len() int { return p.ownZone.serving.len() + p.otherZones.serving.len() }
 
-// part is the part of p that s lies in.
-func (p *pool) part(s *server) *part {
-	if s.own {
-		return &p.own
+// setOf returns the set of p that s belongs to.
+func (p *pool) setOf(s *server) *serverSet {
+	if s.inOwnZone {
+		return &p.ownZone
 	}
-	return &p.others
+	return &p.otherZones
 }
 
-// bind gives c the pool of its binding.
-func (b *Balancer) bind(c *class) {
-	c.open = &b.fleet
+// assignPool gives c the pool of its binding, and creates it if needed.
+func (b *Balancer) assignPool(c *class) {
+	c.eligible = &b.fleet
 	if len(c.Kinds)+len(c.Zones) > 0 {
 		kinds := slices.Compact(slices.Sorted(slices.Values(c.Kinds)))
 		zones := slices.Compact(slices.Sorted(slices.Values(c.Zones)))
 		key := fmt.Sprintf("%q %q", kinds, zones)
-		if b.bindings[key] == nil {
+		if b.poolsByBinding[key] == nil {
 			p := newPool(b.visits)
-			p.class = c
-			b.bindings[key] = &p
+			p.boundClass = c
+			b.poolsByBinding[key] = &p
 			for _, kind := range kinds {
-				b.byKind[kind] = append(b.byKind[kind], &p)
+				b.poolsByKind[kind] = append(b.poolsByKind[kind], &p)
 			}
 			if len(kinds) == 0 {
-				b.anyKind = append(b.anyKind, &p)
+				b.poolsOfAnyKind = append(b.poolsOfAnyKind, &p)
 			}
 		}
-		c.open = b.bindings[key]
+		c.eligible = b.poolsByBinding[key]
 	}
-	c.open.named, c.open.safest = true, max(c.open.safest, c.Repeat)
+	c.eligible.hasClasses, c.eligible.mostRepeatable = true, max(c.eligible.mostRepeatable, c.Repeat)
 	if c.Repeat == Guarded {
-		c.open.byZone = c.open.byZone || c.Group == GroupZone
-		c.open.byCell = c.open.byCell || c.Group == GroupCell
-		b.byCell = b.byCell || c.open.byCell
+		c.eligible.splitByZone = c.eligible.splitByZone || c.Group == GroupZone
+		c.eligible.splitByCell = c.eligible.splitByCell || c.Group == GroupCell
+		b.splitByCell = b.splitByCell || c.eligible.splitByCell
 	}
 }
 
-// groupKey names a group. The cell counts where classes may be repeated within one, else it is 0.
+// groupKey identifies a group. The cell is 0 unless some class may be repeated within a cell.
 type groupKey struct {
 	kind, zone string
 	cell       int64
 }
 
-// group is what all servers of one kind in one zone, and one cell where that counts, have alike.
+// group is what all servers of one kind in one zone have in common; if some class may be repeated within a
+// cell, also of one cell.
 type group struct {
 	groupKey
-	servers int     // listed ones
-	pools   []*pool // that they lie in, the fleet first
-	safest  Repeat  // of the classes that they are open to: those give the trials
+	serverCount    int     // listed servers in the group
+	pools          []*pool // pools that contain its servers, the fleet first
+	mostRepeatable Repeat  // highest Repeat of the classes that may use its servers; such classes give the trials
 }
 
-// groupOf finds the group of s, and counts s in.
-func (b *Balancer) groupOf(s *server) *group {
+// joinGroup returns the group of s, which is created if needed, and counts s in it.
+func (b *Balancer) joinGroup(s *server) *group {
 	key := groupKey{kind: s.Kind, zone: s.Zone}
-	if b.byCell {
+	if b.splitByCell {
 		key.cell = s.Cell
 	}
 	g := b.groups[key]
@@ -151,85 +155,86 @@
 		g = b.newGroup(key, s)
 		b.groups[key] = g
 	}
-	g.servers++
+	g.serverCount++
 	return g
 }
 
 func (b *Balancer) newGroup(key groupKey, s *server) *group {
-	g := &group{groupKey: key, pools: []*pool{&b.fleet}, safest: b.fleet.safest}
-	for _, among := range [][]*pool{b.byKind[s.Kind], b.anyKind} {
-		for _, p := range among {
-			if *b.visits++; p.class.permits(s) {
-				g.pools, g.safest = append(g.pools, p), max(g.safest, p.safest)
+	g := &group{groupKey: key, pools: []*pool{&b.fleet}, mostRepeatable: b.fleet.mostRepeatable}
+	for _, pools := range [][]*pool{b.poolsByKind[s.Kind], b.poolsOfAnyKind} {
+		for _, p := range pools {
+			if *b.visits++; p.boundClass.permits(s) {
+				g.pools, g.mostRepeatable = append(g.pools, p), max(g.mostRepeatable, p.mostRepeatable)
 			}
 		}
 	}
 	for _, p := range g.pools[:len(g.pools):len(g.pools)] {
-		if p.byZone {
-			g.pools = append(g.pools, subPool(&p.zones, key.zone, b.visits))
+		if p.splitByZone {
+			g.pools = append(g.pools, acquireSubPool(&p.zonePools, key.zone, b.visits))
 		}
-		if p.byCell {
-			g.pools = append(g.pools, subPool(&p.cells, key.cell, b.visits))
+		if p.splitByCell {
+			g.pools = append(g.pools, acquireSubPool(&p.cellPools, key.cell, b.visits))
 		}
 	}
 	return g
 }
 
-// subPool returns the part of a pool under a key, which is made when it is first needed, for one group more.
-func subPool[K comparable](among *map[K]*pool, key K, visits *int) *pool {
-	if *among == nil {
-		*among = make(map[K]*pool)
+// acquireSubPool returns the pool for a zone or cell, which is created if needed, and counts one more group
+// in it.
+func acquireSubPool[K comparable](pools *map[K]*pool, key K, visits *int) *pool {
+	if *pools == nil {
+		*pools = make(map[K]*pool)
 	}
-	p := (*among)[key]
+	p := (*pools)[key]
 	if p == nil {
 		made := newPool(visits)
 		p = &made
-		(*among)[key] = p
+		(*pools)[key] = p
 	}
-	p.groups++
+	p.groupCount++
 	return p
 }
 
-// quit counts a server out of its group, which is forgotten with its last one.
-func (b *Balancer) quit(g *group) {
-	if g.servers--; g.servers > 0 {
+// leaveGroup counts one server less in g, and deletes g with its last server.
+func (b *Balancer) leaveGroup(g *group) {
+	if g.serverCount--; g.serverCount > 0 {
 		return
 	}
 	delete(b.groups, g.groupKey)
 	for _, p := range g.pools {
-		if p.byZone {
-			quitSubPool(p.zones, g.zone)
+		if p.splitByZone {
+			releaseSubPool(p.zonePools, g.zone)
 		}
-		if p.byCell {
-			quitSubPool(p.cells, g.cell)
+		if p.splitByCell {
+			releaseSubPool(p.cellPools, g.cell)
 		}
 	}
 }
 
-func quitSubPool[K comparable](among map[K]*pool, key K) {
-	p := among[key]
-	if p.groups--; p.groups == 0 {
-		delete(among, key)
+func releaseSubPool[K comparable](pools map[K]*pool, key K) {
+	p := pools[key]
+	if p.groupCount--; p.groupCount == 0 {
+		delete(pools, key)
 	}
 }
 
-// walk goes through the servers of p in packing order. All pools are walked from where the fleet is, so
-// each has the fleet's order.
+// walk iterates over the servers of p in packing order. Every pool is walked from the fleet's starting
+// points, so that its order agrees with the fleet's.
 func (b *Balancer) walk(p *pool) iter.Seq[*server] {
 	return func(yield func(*server) bool) {
-		_ = p.own.serving.each(b.fleet.own.first, yield) && p.others.serving.each(b.fleet.others.first, yield)
+		_ = p.ownZone.serving.each(b.fleet.ownZone.walkStart, yield) && p.otherZones.serving.each(b.fleet.otherZones.walkStart, yield)
 	}
 }
 
-// packed compares servers in service by the packing order.
-func (b *Balancer) packed(x, y *server) int {
-	if x.own != y.own {
-		if x.own {
+// comparePacking compares two servers in service by packing order.
+func (b *Balancer) comparePacking(x, y *server) int {
+	if x.inOwnZone != y.inOwnZone {
+		if x.inOwnZone {
 			return -1
 		}
 		return 1
 	}
-	first := b.fleet.part(x).first.Server
+	first := b.fleet.setOf(x).walkStart.Server
 	if before := x.Server < first; before != (y.Server < first) {
 		if before {
 			return 1
@@ -239,222 +244,225 @@
 	return cmp.Compare(x.Server, y.Server)
 }
 
-// startRoll begins a whole list of so many entries.
-func (b *Balancer) startRoll(entries int) {
-	b.lists++
-	b.past, b.next, b.left = b.roll, 0, len(b.servers)
-	b.roll = make([]*server, 0, entries)
+// beginFullList starts to apply a full list with the given number of entries.
+func (b *Balancer) beginFullList(entries int) {
+	b.listGeneration++
+	b.previousOrder, b.previousNext, b.previousUnseen = b.membershipOrder, 0, len(b.servers)
+	b.membershipOrder = make([]*server, 0, entries)
 }
 
-// find returns the server listed by that id, or nil. Whole lists mostly come in the order of the last, and
-// to go along that is far cheaper than tens of thousands of look-ups all over the memory.
-func (b *Balancer) find(id string) *server {
+// findListed returns the listed server with the given id, or nil. Full lists mostly keep the order of the
+// previous one, and following that order is far cheaper than tens of thousands of map look-ups scattered over
+// memory.
+func (b *Balancer) findListed(id string) *server {
 	*b.visits++
-	if b.next < len(b.past) {
-		if s := b.past[b.next]; !s.gone && s.Server == id {
-			b.next++
+	if b.previousNext < len(b.previousOrder) {
+		if s := b.previousOrder[b.previousNext]; !s.delisted && s.Server == id {
+			b.previousNext++
 			return s
 		}
 	}
 	s := b.servers[id]
 	if s != nil {
-		b.next = s.turn + 1
+		b.previousNext = s.listPosition + 1
 	}
 	return s
 }
 
-// enrol notes that the list names s.
-func (b *Balancer) enrol(s *server) {
-	if s.list == b.lists {
+// markListed records that a list names s.
+func (b *Balancer) markListed(s *server) {
+	if s.generation == b.listGeneration {
 		return
 	}
-	if len(b.roll) > 2*len(b.servers)+64 && b.past == nil { // most are gone
-		b.roll = slices.DeleteFunc(b.roll, func(s *server) bool { return s.gone })
-		for i, s := range b.roll {
+	if len(b.membershipOrder) > 2*len(b.servers)+64 && b.previousOrder == nil { // most are delisted
+		b.membershipOrder = slices.DeleteFunc(b.membershipOrder, func(s *server) bool { return s.delisted })
+		for i, s := range b.membershipOrder {
 			*b.visits++
-			s.turn = i
+			s.listPosition = i
 		}
 	}
-	if s.list > 0 {
-		b.left--
+	if s.generation > 0 {
+		b.previousUnseen--
 	}
-	s.list, s.turn = b.lists, len(b.roll)
-	b.roll = append(b.roll, s)
+	s.generation, s.listPosition = b.listGeneration, len(b.membershipOrder)
+	b.membershipOrder = append(b.membershipOrder, s)
 }
 
-// endRoll returns the servers that the whole list left out.
-func (b *Balancer) endRoll() (missing []*server) {
-	for i := 0; i < len(b.past) && len(missing) < b.left; i++ {
-		if *b.visits++; !b.past[i].gone && b.past[i].list != b.lists {
-			missing = append(missing, b.past[i])
+// endFullList returns the servers that the full list did not name.
+func (b *Balancer) endFullList() (missing []*server) {
+	for i := 0; i < len(b.previousOrder) && len(missing) < b.previousUnseen; i++ {
+		if *b.visits++; !b.previousOrder[i].delisted && b.previousOrder[i].generation != b.listGeneration {
+			missing = append(missing, b.previousOrder[i])
 		}
 	}
-	b.past = nil
+	b.previousOrder = nil
 	return missing
 }
 
-// forget takes s off the list.
-func (b *Balancer) forget(s *server) {
-	b.leave(s)
-	if s.gone = true; s.list > 0 && s.list < b.lists {
-		b.left--
+// deleteServer removes s from the list and from the indexes.
+func (b *Balancer) deleteServer(s *server) {
+	b.leaveService(s)
+	if s.delisted = true; s.generation > 0 && s.generation < b.listGeneration {
+		b.previousUnseen--
 	}
-	b.quit(s.group)
+	b.leaveGroup(s.group)
 	delete(b.servers, s.Server)
-	if s.usedAt != nil {
-		b.used.Remove(s.usedAt)
-		s.usedAt = nil
+	if s.recentlyUsedElem != nil {
+		b.recentlyUsed.Remove(s.recentlyUsedElem)
+		s.recentlyUsedElem = nil
 	}
 }
 
-// enter brings a server into service, with the place, the group and the health that it has now.
-func (b *Balancer) enter(s *server) {
-	s.in, s.own = true, s.Zone == b.set.Zone
-	b.zones[s.Zone]++
+// enterService puts s into service with its present zone, group and health.
+func (b *Balancer) enterService(s *server) {
+	s.inService, s.inOwnZone = true, s.Zone == b.settings.Zone
+	b.serversByZone[s.Zone]++
 	for _, p := range s.group.pools {
-		p.part(s).insert(s, b.set.WarmKeys)
-		if s.health.out {
-			p.ejected++
+		p.setOf(s).insert(s, b.settings.WarmKeys)
+		if s.health.ejected {
+			p.ejectedCount++
 		}
 	}
-	b.refresh(s)
-	b.rank(s)
+	b.updateStatus(s)
+	b.rankFaults(s)
 }
 
-// leave takes a server out of service, if it is in; it has to come before its entry changes.
-func (b *Balancer) leave(s *server) {
-	if !s.in {
+// leaveService takes s out of service, if it is in service. It must be called before the Member of s changes.
+func (b *Balancer) leaveService(s *server) {
+	if !s.inService {
 		return
 	}
-	s.in = false
-	if b.zones[s.Zone]--; b.zones[s.Zone] == 0 {
-		delete(b.zones, s.Zone)
+	s.inService = false
+	if b.serversByZone[s.Zone]--; b.serversByZone[s.Zone] == 0 {
+		delete(b.serversByZone, s.Zone)
 	}
-	b.refresh(s)
+	b.updateStatus(s)
 	for _, p := range s.group.pools {
-		p.part(s).remove(s, b.set.WarmKeys)
-		if s.health.out {
-			p.ejected--
+		p.setOf(s).remove(s, b.settings.WarmKeys)
+		if s.health.ejected {
+			p.ejectedCount--
 		}
 	}
-	b.rank(s)
+	b.rankFaults(s)
 }
 
-// setOut ejects a server or takes it back. Those that are not in service count nowhere.
-func (b *Balancer) setOut(s *server, out bool) {
-	if s.in && s.health.out != out {
-		by := 1
-		if !out {
-			by = -1
+// setEjected ejects s or readmits it. Pools count ejected servers only while these are in service.
+func (b *Balancer) setEjected(s *server, ejected bool) {
+	if s.inService && s.health.ejected != ejected {
+		delta := 1
+		if !ejected {
+			delta = -1
 		}
 		for _, p := range s.group.pools {
 			*b.visits++
-			p.ejected += by
+			p.ejectedCount += delta
 		}
 	}
-	s.health.out = out
-	b.refresh(s)
+	s.health.ejected = ejected
+	b.updateStatus(s)
 }
 
-// rank puts s in its place among the faults. It has to follow each change of these, and of its place; that
-// it answered is seen with the next.
-func (b *Balancer) rank(s *server) {
-	in, was := s.in && s.lastDone > 0, s.spots[inLower]+s.spots[inUpper] > 0
-	if in == was && s.fault == s.faults {
+// rankFaults updates the place of s in the heaps of fault rates. It must be called after every change of the
+// fault rate or of inService; that a server has answered for the first time takes effect at the next call.
+func (b *Balancer) rankFaults(s *server) {
+	in, was := s.inService && s.lastAnswer > 0, s.heapPositions[lowerFaultsID]+s.heapPositions[upperFaultsID] > 0
+	if in == was && s.rankedFaultRate == s.faultRate {
 		return
 	}
-	s.fault = s.faults
-	switch low, up := b.lower.servers, b.upper.servers; {
-	case in && s.spots[inLower] > 0 && (len(up) == 0 || s.fault <= up[0].fault):
-		b.lower.set(s, true)
+	s.rankedFaultRate = s.faultRate
+	switch low, up := b.lowerFaults.servers, b.upperFaults.servers; {
+	case in && s.heapPositions[lowerFaultsID] > 0 && (len(up) == 0 || s.rankedFaultRate <= up[0].rankedFaultRate):
+		b.lowerFaults.set(s, true)
 		return
-	case in && s.spots[inUpper] > 0 && s.fault >= low[0].fault:
-		b.upper.set(s, true)
+	case in && s.heapPositions[upperFaultsID] > 0 && s.rankedFaultRate >= low[0].rankedFaultRate:
+		b.upperFaults.set(s, true)
 		return
 	}
-	b.lower.set(s, false)
-	b.upper.set(s, false)
-	b.halve()
+	b.lowerFaults.set(s, false)
+	b.upperFaults.set(s, false)
+	b.balanceFaults()
 	if !in {
 		return
 	}
-	half := &b.lower
-	if low := b.lower.servers; len(low) > 0 && s.fault > low[0].fault {
-		half = &b.upper
+	half := &b.lowerFaults
+	if low := b.lowerFaults.servers; len(low) > 0 && s.rankedFaultRate > low[0].rankedFaultRate {
+		half = &b.upperFaults
 	}
 	half.set(s, true)
-	b.halve()
+	b.balanceFaults()
 }
 
-// halve moves what one half has too much to the other: the lower has one more of an odd number.
-func (b *Balancer) halve() {
-	for len(b.lower.servers) > len(b.upper.servers)+1 {
-		s := b.lower.servers[0]
-		b.lower.set(s, false)
-		b.upper.set(s, true)
+// balanceFaults moves servers between the halves until they are equal, or the lower one has one more.
+func (b *Balancer) balanceFaults() {
+	for len(b.lowerFaults.servers) > len(b.upperFaults.servers)+1 {
+		s := b.lowerFaults.servers[0]
+		b.lowerFaults.set(s, false)
+		b.upperFaults.set(s, true)
 	}
-	for len(b.lower.servers) < len(b.upper.servers) {
-		s := b.upper.servers[0]
-		b.upper.set(s, false)
-		b.lower.set(s, true)
+	for len(b.lowerFaults.servers) < len(b.upperFaults.servers) {
+		s := b.upperFaults.servers[0]
+		b.upperFaults.set(s, false)
+		b.lowerFaults.set(s, true)
 	}
 }
 
-// median is the server with the lower median of the faults among those that answered; nil if none did.
-func (b *Balancer) median() *server {
-	if len(b.lower.servers) == 0 {
+// medianByFaults returns the server with the lower median of the fault rates among those that have answered,
+// or nil if none has.
+func (b *Balancer) medianByFaults() *server {
+	if len(b.lowerFaults.servers) == 0 {
 		return nil
 	}
-	return b.lower.servers[0]
+	return b.lowerFaults.servers[0]
 }
 
-// part is a set of servers in service, in id order.
-type part struct {
-	serving orderTree // all of them
-	cold    orderTree // those in slow start
-	ejected [Free + 1]orderTree
-	keys    keyTrie
-	first   *server // where walks begin; nil for the first of all
+// serverSet is a set of servers in service, ordered by id.
+type serverSet struct {
+	serving   orderTree           // all of them
+	cold      orderTree           // those in slow start
+	ejected   [Free + 1]orderTree // ejected ones, by the mostRepeatable of their group
+	keys      keyTrie
+	walkStart *server // where walks begin; nil: at the lowest id
 }
 
-func newPart(visits *int) part {
-	p := part{serving: orderTree{visits: visits}, cold: orderTree{visits: visits}, keys: keyTrie{visits: visits}}
+func newServerSet(visits *int) serverSet {
+	p := serverSet{serving: orderTree{visits: visits}, cold: orderTree{visits: visits}, keys: keyTrie{visits: visits}}
 	for i := range p.ejected {
 		p.ejected[i].visits = visits
 	}
 	return p
 }
 
-// insert adds a server, for which the indexes know no status yet.
-func (p *part) insert(s *server, byKey bool) {
+// insert adds a server whose indexed status is still outOfService.
+func (p *serverSet) insert(s *server, byKey bool) {
 	p.serving.insert(s, allAbsent)
 	if byKey {
 		p.keys.insert(s)
 	}
 }
 
-// remove takes a server out, after its status.
-func (p *part) remove(s *server, byKey bool) {
+// remove deletes a server whose indexed status is outOfService again.
+func (p *serverSet) remove(s *server, byKey bool) {
 	p.serving.remove(s)
 	if byKey {
 		p.keys.remove(s)
 	}
-	if p.first == s {
-		p.first = nil
+	if p.walkStart == s {
+		p.walkStart = nil
 	}
 }
 
-// update follows a change of a server's status.
-func (p *part) update(s *server, was, now status) {
+// update applies a change of a server's status to the trees.
+func (p *serverSet) update(s *server, was, now status) {
 	if was.keys != now.keys {
 		p.serving.set(s, now.keys)
 	}
-	move(&p.cold, s, was.cold, now.cold, was.keys, now.keys)
-	move(&p.ejected[s.group.safest], s, was.out, now.out, treeKeys{readyKey: was.ready}, treeKeys{readyKey: now.ready})
+	updateTree(&p.cold, s, was.cold, now.cold, was.keys, now.keys)
+	updateTree(&p.ejected[s.group.mostRepeatable], s, was.ejected, now.ejected, treeKeys{trialAtKey: was.trialAt}, treeKeys{trialAtKey: now.trialAt})
 }
 
-// move has a tree hold a server or not.
-func move(t *orderTree, s *server, was, is bool, old, keys treeKeys) {
+// updateTree inserts s into a tree, removes it, or changes its keys, as its presence before and after a
+// change requires.
+func updateTree(t *orderTree, s *server, was, is bool, old, keys treeKeys) {
 	switch {
 	case was && !is:
 		t.remove(s)
@@ -465,25 +473,26 @@
 	}
 }
 
-// turn lets walks begin at the k-th server, counted from 0.
-func (p *part) turn(k int) {
-	p.first = nil
+// setWalkStart makes walks begin at the k-th server, counted from 0 and modulo the size of the set.
+func (p *serverSet) setWalkStart(k int) {
+	p.walkStart = nil
 	if n := p.serving.len(); n > 0 {
-		p.first = p.serving.at(k % n)
+		p.walkStart = p.serving.at(k % n)
 	}
 }
 
-// serverHeap is a heap of servers that knows the place of each.
+// serverHeap is a heap of servers that records each server's position, so that a server can be moved or
+// removed.
 type serverHeap struct {
 	servers []*server
 	less    func(s, t *server) bool
-	spot    int
+	id      int
 	visits  *int
 }
 
-// set puts s in its place, or takes it out.
+// set inserts s, moves it after a change, or removes it if in is false.
 func (h *serverHeap) set(s *server, in bool) {
-	switch at := s.spots[h.spot] - 1; {
+	switch at := s.heapPositions[h.id] - 1; {
 	case in && at < 0:
 		heap.Push(h, s)
 	case in:
@@ -502,18 +511,18 @@
 
 func (h *serverHeap) Swap(i, j int) {
 	h.servers[i], h.servers[j] = h.servers[j], h.servers[i]
-	h.servers[i].spots[h.spot], h.servers[j].spots[h.spot] = i+1, j+1
+	h.servers[i].heapPositions[h.id], h.servers[j].heapPositions[h.id] = i+1, j+1
 }
 
 func (h *serverHeap) Push(s any) {
 	h.servers = append(h.servers, s.(*server))
-	h.servers[len(h.servers)-1].spots[h.spot] = len(h.servers)
+	h.servers[len(h.servers)-1].heapPositions[h.id] = len(h.servers)
 }
 
 func (h *serverHeap) Pop() any {
 	last := len(h.servers) - 1
 	s := h.servers[last]
 	h.servers[last] = nil
-	h.servers, s.spots[h.spot] = h.servers[:last], 0
+	h.servers, s.heapPositions[h.id] = h.servers[:last], 0
 	return s
 }
--- a/policy/index_test.go
+++ b/policy/index_test.go
@@ -19,32 +19,32 @@
 	zones := map[string]int{}
 	for _, id := range slices.Sorted(maps.Keys(b.servers)) {
 		s := b.servers[id]
-		if s.in != (s.Availability == Running) {
-			t.Errorf("%s is in service: %v, but %v", id, s.in, s.Availability)
+		if s.inService != (s.Availability == Running) {
+			t.Errorf("%s is in service: %v, but %v", id, s.inService, s.Availability)
 		}
 		if s.Availability != Running {
 			continue
 		}
-		if zones[s.Zone]++; s.Zone == b.set.Zone {
+		if zones[s.Zone]++; s.Zone == b.settings.Zone {
 			own = append(own, s)
 		} else {
 			others = append(others, s)
 		}
 	}
 	known := map[string]*server{}
-	for _, s := range b.roll {
-		if !s.gone {
+	for _, s := range b.membershipOrder {
+		if !s.delisted {
 			known[s.Server] = s
 		}
 	}
-	if !maps.Equal(known, b.servers) || len(b.roll) > 2*len(b.servers)+65 {
-		t.Errorf("%d on the roll, %d of them listed, want %d", len(b.roll), len(known), len(b.servers))
+	if !maps.Equal(known, b.servers) || len(b.membershipOrder) > 2*len(b.servers)+65 {
+		t.Errorf("%d on the roll, %d of them listed, want %d", len(b.membershipOrder), len(known), len(b.servers))
 	}
-	if !maps.Equal(zones, b.zones) {
-		t.Errorf("servers by zone %v, want %v", b.zones, zones)
+	if !maps.Equal(zones, b.serversByZone) {
+		t.Errorf("servers by zone %v, want %v", b.serversByZone, zones)
 	}
-	if b.set.Nodes > manyNodes { // each node begins elsewhere
-		_, at := math.Modf(float64(b.set.Node) / math.Phi)
+	if b.settings.Nodes > maxUnstaggeredNodes { // each node begins elsewhere
+		_, at := math.Modf(float64(b.settings.Node) / math.Phi)
 		for _, part := range []*[]*server{&own, &others} {
 			k := int(at * float64(len(*part)))
 			*part = slices.Concat((*part)[k:], (*part)[:k])
@@ -52,7 +52,7 @@
 	}
 	order := slices.Concat(own, others)
 	safest := make(map[*server]Repeat)
-	for _, c := range append(b.ranked, &class{index: -1, open: &b.fleet}) {
+	for _, c := range append(b.classList, &class{index: -1, eligible: &b.fleet}) {
 		var open []*server
 		zoned, ejected := 0, 0
 		for i, s := range order {
@@ -63,56 +63,56 @@
 			if i < len(own) {
 				zoned++
 			}
-			if s.health.out {
+			if s.health.ejected {
 				ejected++
 			}
 			if c.index >= 0 {
 				safest[s] = max(safest[s], c.Repeat)
 			}
 		}
-		if got := slices.Collect(b.walk(c.open)); !slices.Equal(got, open) || c.open.len() != len(open) {
+		if got := slices.Collect(b.walk(c.eligible)); !slices.Equal(got, open) || c.eligible.len() != len(open) {
 			t.Errorf("class %q: another order, of %d servers, want %d", c.Name, len(got), len(open))
 		}
-		if got := c.open.own.serving.len(); got != zoned {
+		if got := c.eligible.ownZone.serving.len(); got != zoned {
 			t.Errorf("class %q: %d servers of the own zone, want %d", c.Name, got, zoned)
 		}
-		if c.open.ejected != ejected {
-			t.Errorf("class %q: %d ejected, want %d", c.Name, c.open.ejected, ejected)
+		if c.eligible.ejectedCount != ejected {
+			t.Errorf("class %q: %d ejected, want %d", c.Name, c.eligible.ejectedCount, ejected)
 		}
 		met["ejected"] += ejected
 	}
 	out, warm := 0, 0
 	var parts []float64
 	for _, s := range order {
-		if s.group.safest != safest[s] {
-			t.Errorf("%s: the safest class may be repeated %v, want %v", s.Server, s.group.safest, safest[s])
+		if s.group.mostRepeatable != safest[s] {
+			t.Errorf("%s: the safest class may be repeated %v, want %v", s.Server, s.group.mostRepeatable, safest[s])
 		}
-		if b.ramp(s) >= 1 && !s.health.out {
+		if b.rampFraction(s) >= 1 && !s.health.ejected {
 			warm++
 			out += s.inflight
-			for _, g := range s.lateResponses {
+			for _, g := range s.abandoned {
 				if g.until > b.now {
 					out++
 					met["lateResponses"]++
 				}
 			}
 		}
-		if s.lastDone > 0 {
-			parts = append(parts, s.faults)
+		if s.lastAnswer > 0 {
+			parts = append(parts, s.faultRate)
 		}
 	}
-	if gotOut, got := b.crowd(); b.many() && (gotOut != out || got != warm) {
+	if gotOut, got := b.warmLoad(); b.oversubscribed() && (gotOut != out || got != warm) {
 		t.Errorf("%d attempts at %d warm servers, want %d at %d", gotOut, got, out, warm)
 	}
 	met["cold"] += len(order) - warm
-	switch m := b.median(); {
+	switch m := b.medianByFaults(); {
 	case len(parts) == 0:
 		if m != nil {
 			t.Errorf("the median server is %s, but none answered", m.Server)
 		}
 	default:
 		slices.Sort(parts)
-		if want := parts[(len(parts)-1)/2]; m == nil || m.faults != want {
+		if want := parts[(len(parts)-1)/2]; m == nil || m.faultRate != want {
 			t.Errorf("the median part of faults is not %v", want)
 		} else if want > 0 {
 			met["faults"]++
@@ -146,14 +146,14 @@
 // plainPick is pick by walks of all servers, with the budgets of cold servers as they were last brought up to date.
 func (b *Balancer) plainPick(r *request) (*server, bool) {
 	usable := func(s *server) bool {
-		return !s.health.out && b.mayRun(r, s) && (b.ramp(s) >= 1 || s.cold.tokens >= 1)
+		return !s.health.ejected && b.mayRun(r, s) && (b.rampFraction(s) >= 1 || s.cold.tokens >= 1)
 	}
 	for _, s := range b.order() {
-		if b.ramp(s) < 1 && usable(s) && b.hasRoom(s) {
+		if b.rampFraction(s) < 1 && usable(s) && b.hasRoom(s) {
 			return s, true
 		}
 	}
-	if b.crowded() {
+	if b.atFairShare() {
 		return nil, false
 	}
 	var least *server
@@ -168,21 +168,21 @@
 			least = s
 		}
 	}
-	if least != nil && b.utilization(least) > crowdLimit && !b.shedEarly() {
-		return nil, !least.felt
+	if least != nil && b.utilization(least) > overcommitLimit && !b.serversShedEarly() {
+		return nil, !least.thresholdCut
 	}
-	return least, least != nil && !least.felt
+	return least, least != nil && !least.thresholdCut
 }
 
 // plainTrial is which ejected server trial would try, by a walk of all servers; nil for none.
 func (b *Balancer) plainTrial(r *request) *server {
-	if !r.class.open.named || len(r.attempts) > 0 || b.trials < 1 {
+	if !r.class.eligible.hasClasses || len(r.attempts) > 0 || b.savedTrials < 1 {
 		return nil
 	}
 	for _, s := range b.order() {
 		h := &s.health
-		if r.class.permits(s) && h.out && !h.trialOut && b.now >= h.until && r.class.Repeat >= s.group.safest &&
-			(b.ramp(s) >= 1 || s.cold.tokens >= 1) {
+		if r.class.permits(s) && h.ejected && !h.trialPending && b.now >= h.ejectedUntil && r.class.Repeat >= s.group.mostRepeatable &&
+			(b.rampFraction(s) >= 1 || s.cold.tokens >= 1) {
 			return s
 		}
 	}
@@ -193,13 +193,13 @@
 func checkChoices(t *testing.T, b *Balancer, met map[string]int) {
 	t.Helper()
 	order := b.order()
-	if len(order) == 0 || b.scaled() { // where thresholds are scaled, a server's pace is put right in turn
+	if len(order) == 0 || b.serversShared() { // where thresholds are scaled, a server's pace is put right in turn
 		return
 	}
-	for i, c := range append(b.ranked, &class{index: -1, open: &b.fleet}) {
-		one, two := order[(b.lists+i)%len(order)], order[(b.lists+7*i)%len(order)]
-		ran := []attempt{{server: one, sent: b.now}, {server: two, sent: b.now, notRun: true, over: true}}
-		for _, r := range []*request{{class: c}, {class: c, attempts: ran[1:]}, {class: c, attempts: ran, ranOn: &ran[0]}} {
+	for i, c := range append(b.classList, &class{index: -1, eligible: &b.fleet}) {
+		one, two := order[(b.listGeneration+i)%len(order)], order[(b.listGeneration+7*i)%len(order)]
+		ran := []attempt{{server: one, sent: b.now}, {server: two, sent: b.now, notRun: true, ended: true}}
+		for _, r := range []*request{{class: c}, {class: c, attempts: ran[1:]}, {class: c, attempts: ran, firstRun: &ran[0]}} {
 			want, wantRoom := b.plainPick(r)
 			if got, room := b.pick(r); got != want || room != wantRoom {
 				t.Errorf("class %q, after %d attempts: picked %v (room %v), want %v (%v)", c.Name, len(r.attempts), got, room, want, wantRoom)
@@ -210,12 +210,12 @@
 				met["not picked"]++
 			}
 			wantTrial := b.plainTrial(r)
-			trials := b.trials
-			if got := b.trial(r); got != wantTrial {
+			trials := b.savedTrials
+			if got := b.pickTrial(r); got != wantTrial {
 				t.Errorf("class %q: tried %v, want %v", c.Name, got, wantTrial)
 			} else if got != nil {
 				met["tried"]++
-				got.health.trialOut, b.trials = false, trials
+				got.health.trialPending, b.savedTrials = false, trials
 			}
 		}
 	}
@@ -225,7 +225,7 @@
 // find what plain walks find.
 func TestPartsKeepTheirOrder(t *testing.T) {
 	rng := rand.New(rand.NewPCG(1, 2))
-	p := newPart(new(int))
+	p := newServerSet(new(int))
 	all := map[string]*server{}
 	for i := range 20_000 {
 		id := fmt.Sprint(rng.IntN(4000))
@@ -240,13 +240,13 @@
 			p.serving.set(all[id], all[id].status.keys)
 		}
 		k := int(0.618 * float64(p.serving.len()))
-		if p.turn(k); i%100 != 0 {
+		if p.setWalkStart(k); i%100 != 0 {
 			continue
 		}
 		ids := slices.Sorted(maps.Keys(all))
 		ids = slices.Concat(ids[k:], ids[:k])
 		var got []string
-		p.serving.each(p.first, func(s *server) bool { got = append(got, s.Server); return true })
+		p.serving.each(p.walkStart, func(s *server) bool { got = append(got, s.Server); return true })
 		if !slices.Equal(got, ids) || p.serving.len() != len(ids) {
 			t.Fatalf("after %d changes: %d servers in another order than %d wanted", i, len(got), len(ids))
 		}
@@ -258,9 +258,9 @@
 }
 
 // checkSearches holds the searches of a part against a walk of the ids in its order.
-func checkSearches(t *testing.T, p *part, ids []string, all map[string]*server) {
+func checkSearches(t *testing.T, p *serverSet, ids []string, all map[string]*server) {
 	t.Helper()
-	for key := range treeKey(treeKeyCnt) {
+	for key := range treeKey(treeKeyCount) {
 		for most := range 10 {
 			var want, least *server
 			for _, id := range ids {
@@ -272,10 +272,10 @@
 					least = all[id]
 				}
 			}
-			if got := p.serving.first(p.first, key, float64(most)); got != want {
+			if got := p.serving.first(p.walkStart, key, float64(most)); got != want {
 				t.Fatalf("the first with a key of at most %d is %v, want %v", most, got, want)
 			}
-			if got := p.serving.least(p.first, key); got != least {
+			if got := p.serving.minServer(p.walkStart, key); got != least {
 				t.Fatalf("the least is %v, want %v", got, least)
 			}
 		}
--- a/policy/membership.go
+++ b/policy/membership.go
@@ -10,134 +10,138 @@
 // Membership: following the list of servers.
 
 const (
-	newsLatest = 6 * time.Second       // whatever discovery has to tell counts as told by then
-	askPart    = 4                     // of that, the mean wait before the list is asked for again
-	askApart   = 50 * time.Millisecond // mean time between two nodes' first calls: all may start at once
+	maxUpdateDelay   = 6 * time.Second       // a change counts as known to the node this long after discovery has it
+	listRetryDivisor = 4                     // the mean wait for a retry is the time limit divided by this
+	firstCallSpacing = 50 * time.Millisecond // mean spacing of the nodes' first calls, since all nodes may start at once
 )
 
-// askWithin is how soon the list has to be heard where there is no news of it.
-func (b *Balancer) askWithin() time.Duration {
-	if within := b.set.Rules.AskWithin; within > 0 {
-		return min(newsLatest, within)
+// listRefreshWithin returns how soon the node must have the list while discovery sends nothing.
+func (b *Balancer) listRefreshWithin() time.Duration {
+	if within := b.settings.Rules.ListRefreshWithin; within > 0 {
+		return min(maxUpdateDelay, within)
 	}
-	return newsLatest
+	return maxUpdateDelay
 }
 
-func (b *Balancer) askList() { b.do(Action{Kind: WatchList, On: true}) }
+func (b *Balancer) requestList() { b.emit(Action{Kind: WatchList, On: true}) }
 
-// askLater asks for the list at a random time in the given span from now, so that nodes don't ask in step:
-// discovery serves few calls at a time, and those that wait too long fail and come again.
-func (b *Balancer) askLater(from, span time.Duration) {
-	b.do(Action{Kind: SetTimer, Wait: from + time.Duration(b.rng.Float64()*float64(span)), Token: listToken})
+// requestListLater asks for the list after from and a random part of span, so that nodes don't ask in step:
+// discovery serves few calls at a time, and those that wait too long fail and are repeated.
+func (b *Balancer) requestListLater(from, span time.Duration) {
+	b.emit(Action{Kind: SetTimer, Wait: from + time.Duration(b.rng.Float64()*float64(span)), Token: listToken})
 }
 
 func (b *Balancer) onList(e MemberList) {
 	switch {
 	case e.Kind == ListUnavailable:
-		mean := b.askWithin() / askPart // each time: discovery may be back any moment, and it counts from then
-		b.askLater(mean/2, mean)
+		// The same mean after each failure: discovery may be back any moment, and the time limit counts from
+		// then.
+		mean := b.listRefreshWithin() / listRetryDivisor
+		b.requestListLater(mean/2, mean)
 		return
-	case e.Kind == ListRestored && b.set.Subscribe:
-		if b.set.Nodes <= manyNodes || b.succeeds { // one that takes over does so alone
-			b.askList()
+	case e.Kind == ListRestored && b.settings.Subscribe:
+		if b.settings.Nodes <= maxUnstaggeredNodes || b.isSuccessor { // a process that takes over starts alone
+			b.requestList()
 		} else {
-			// By the time that it counts, the last answer has come.
-			b.askLater(0, min(b.askWithin()*2/3, time.Duration(b.set.Nodes)*askApart))
+			// The last node's call is answered before the time limit.
+			b.requestListLater(0, min(b.listRefreshWithin()*2/3, time.Duration(b.settings.Nodes)*firstCallSpacing))
 		}
 	}
-	whole := e.Kind != ListUpdate
-	if whole {
-		b.startRoll(len(e.Members))
+	full := e.Kind != ListUpdate
+	if full {
+		b.beginFullList(len(e.Members))
 	}
-	var entering []*server
+	var toPlace []*server
 	for _, m := range e.Members {
-		if s := b.listed(m); s != nil {
-			entering = append(entering, s)
+		if s := b.applyMember(m); s != nil {
+			toPlace = append(toPlace, s)
 		}
 	}
-	if whole { // what a full list lacks is gone
-		for _, s := range b.endRoll() {
-			b.drop(s)
+	if full { // servers that a full list lacks are removed
+		for _, s := range b.endFullList() {
+			b.removeServer(s)
 		}
 	}
-	b.reorder(entering)
-	b.release()
+	b.placeServers(toPlace)
+	b.dispatchQueued()
 }
 
-// listed takes over one entry of the list. It returns the server if that has to find its place anew.
-func (b *Balancer) listed(m Member) *server {
-	s := b.find(m.Server)
+// applyMember applies one entry of the list. It returns the server if that must be placed anew.
+func (b *Balancer) applyMember(m Member) *server {
+	s := b.findListed(m.Server)
 	if m.Availability == Removed {
 		if s != nil {
-			b.drop(s)
+			b.removeServer(s)
 		}
 		return nil
 	}
-	if s == nil || s.OnlineSince != m.OnlineSince { // new, or a new process: forget the old one
+	if s == nil || s.OnlineSince != m.OnlineSince { // new, or a new process: discard the state of the old one
 		if s != nil {
-			b.forget(s)
+			b.deleteServer(s)
 		}
-		s = &server{latency: b.set.Classes[0].Aim.Seconds() / 4, hash: hash(m.Server)}
-		s.status = noStatus
-		// A random part of a token, so that nodes who hear of a cold server together don't all send.
-		s.cold = coldBudget{tokens: b.rng.Float64(), last: b.now}
+		s = &server{meanLatency: b.settings.Classes[0].Aim.Seconds() / 4, hash: hash(m.Server)}
+		s.status = outOfService
+		// A random part of a token, so that nodes that learn of a cold server together don't all send at
+		// once.
+		s.cold = coldBudget{tokens: b.rng.Float64(), lastRefill: b.now}
 		b.servers[m.Server] = s
-	} else if _, told := b.restored[m.Server]; s.Member == m && !told {
-		b.enrol(s)
+	} else if _, remembered := b.unclaimedMemory[m.Server]; s.Member == m && !remembered {
+		b.markListed(s)
 		return nil
 	}
-	b.enrol(s)
-	b.leave(s)
+	b.markListed(s)
+	b.leaveService(s)
 	s.Member = m
 	old := s.group
-	s.group = b.groupOf(s)
+	s.group = b.joinGroup(s)
 	if old != nil {
-		b.quit(old)
+		b.leaveGroup(old)
 	}
-	s.Kind, s.Zone = s.group.kind, s.group.zone // one string for all of a group
-	b.restore(s)
+	s.Kind, s.Zone = s.group.kind, s.group.zone // share one string within a group
+	b.restoreServer(s)
 	return s
 }
 
-// drop forgets a server that is gone; attempts that are out there still end.
-func (b *Balancer) drop(s *server) {
-	b.forget(s)
+// removeServer removes a server that left the list; its open attempts still end.
+func (b *Balancer) removeServer(s *server) {
+	b.deleteServer(s)
 	s.Availability = Removed
 }
 
-// reorder brings servers to their places in the packing order: own zone first, since crossing costs, then
-// by id, each part from where this node's walk begins. Draining servers are left out at once, well within
-// the grace of the third rule. New ones draw their start in packing order, once all have a place.
-func (b *Balancer) reorder(entering []*server) {
-	slices.SortFunc(entering, func(x, y *server) int { return cmp.Compare(x.Server, y.Server) })
-	var fresh []*server
-	for _, s := range entering {
-		if s.in || s.gone || s.Availability != Running { // listed more than once
+// placeServers puts servers into the packing order: own zone first, since crossing zones costs, then by id,
+// each set from where this node's walk begins. Draining servers are left out at once, well within the drain
+// grace of the third rule. New servers draw their random initial state in packing order, once all are placed.
+func (b *Balancer) placeServers(toPlace []*server) {
+	slices.SortFunc(toPlace, func(x, y *server) int { return cmp.Compare(x.Server, y.Server) })
+	var newServers []*server
+	for _, s := range toPlace {
+		if s.inService || s.delisted || s.Availability != Running { // the list names some servers more than once
 			continue
 		}
-		b.enter(s)
+		b.enterService(s)
 		if s.threshold == 0 {
-			fresh = append(fresh, s)
+			newServers = append(newServers, s)
 		}
 	}
-	b.fleet.own.turn(b.stagger(b.fleet.own.serving.len()))
-	b.fleet.others.turn(b.stagger(b.fleet.others.serving.len()))
-	slices.SortFunc(fresh, b.packed)
-	for _, s := range fresh {
-		s.threshold = b.start(s)
-		s.lastSend = b.now - seconds(b.rng.Float64()*s.latency/s.threshold)
-		b.refresh(s)
+	b.fleet.ownZone.setWalkStart(b.walkOffset(b.fleet.ownZone.serving.len()))
+	b.fleet.otherZones.setWalkStart(b.walkOffset(b.fleet.otherZones.serving.len()))
+	slices.SortFunc(newServers, b.comparePacking)
+	for _, s := range newServers {
+		s.threshold = b.initialThreshold(s)
+		s.lastSend = b.now - seconds(b.rng.Float64()*s.meanLatency/s.threshold)
+		b.updateStatus(s)
 	}
 }
 
-func (b *Balancer) staggered() bool { return b.set.Nodes > manyNodes }
+func (b *Balancer) staggered() bool { return b.settings.Nodes > maxUnstaggeredNodes }
 
-// stagger is where in a part of n servers this node's walk begins: at its own place, where nodes are many.
-// Steps of the golden ratio lie evenly whichever of the nodes share a zone.
-func (b *Balancer) stagger(n int) int {
+// walkOffset returns where in a set of n servers this node's walk begins: at a position of its own if there
+// are many nodes, else at 0. Multiples of the golden ratio are evenly spread for any subset of the nodes that
+// share a zone.
+func (b *Balancer) walkOffset(n int) int {
 	if !b.staggered() {
 		return 0
 	}
-	_, at := math.Modf(float64(b.set.Node) / math.Phi)
+	_, at := math.Modf(float64(b.settings.Node) / math.Phi)
 	return int(at * float64(n))
 }
--- a/policy/ordertree.go
+++ b/policy/ordertree.go
@@ -5,43 +5,44 @@
 	"math"
 )
 
-// Servers in id order, searched by what they can take: the first one from a place on whose key is low enough, and the
-// one with the least key, each in time logarithmic in the servers. No decisions here.
+// A tree of servers by id, searched by what they can take: the first server from an id on whose key is low
+// enough, and the server with the lowest key, each in time logarithmic in the number of servers. It makes no
+// decisions.
 
-// treeKey names one of the keys of a server in an orderTree.
+// treeKey selects one of the keys of a server in an orderTree.
 type treeKey int
 
 const (
-	roomKey    treeKey   = iota // how full the server is; absent while it has no room whatever its threshold
-	loadKey                     // how full it would be with one attempt more
-	readyKey   = roomKey        // in a tree of ejected servers: when it may be tried
-	treeKeyCnt = 2
+	roomKey      treeKey   = iota // attempts held / threshold; absent while there is no room at any threshold
+	loadKey                       // the same with one attempt more
+	trialAtKey   = roomKey        // in a tree of ejected servers: the time from which a trial is allowed
+	treeKeyCount = 2
 )
 
-// absent is the key of a server that no search is to find.
+// absent is the key of a server that searches skip.
 var absent = math.Inf(1)
 
-// treeKeys are the keys of one server.
-type treeKeys [treeKeyCnt]float64
+// treeKeys are the keys of one server, by treeKey.
+type treeKeys [treeKeyCount]float64
 
 var allAbsent = treeKeys{absent, absent}
 
-// orderTree is a treap of servers by id, each of whose nodes knows the least keys below it. The zero value with visits
-// set is an empty tree.
+// orderTree is a treap of servers by id in which each node stores the lowest keys of its subtree. The zero
+// value with visits set is an empty tree.
 type orderTree struct {
 	root   *treeNode
-	visits *int // entries looked at so far
+	visits *int // nodes visited so far
 }
 
 type treeNode struct {
-	left, right *treeNode
-	server      *server
-	size        int32
-	priority    uint32
-	keys, least treeKeys
+	left, right   *treeNode
+	server        *server
+	size          int32
+	priority      uint32
+	keys, minKeys treeKeys
 }
 
-// treePriority spreads servers' hashes, so that trees are balanced whatever the ids look like.
+// treePriority mixes the hash of the server's id, so that trees are balanced for any pattern of ids.
 func treePriority(s *server) uint32 {
 	return uint32(mixHash(s.hash) >> 32)
 }
@@ -53,16 +54,16 @@
 	return n.size
 }
 
-// update works out what a node knows of those below it.
+// update recomputes what a node stores of its subtree.
 func (n *treeNode) update() {
 	n.size = 1 + n.left.count() + n.right.count()
-	n.least = n.keys
+	n.minKeys = n.keys
 	for _, child := range [...]*treeNode{n.left, n.right} {
 		if child == nil {
 			continue
 		}
-		for k := range n.least {
-			n.least[k] = min(n.least[k], child.least[k])
+		for k := range n.minKeys {
+			n.minKeys[k] = min(n.minKeys[k], child.minKeys[k])
 		}
 	}
 }
@@ -95,7 +96,7 @@
 	return at
 }
 
-// split divides a subtree into those with ids before the given one and the others.
+// split divides a subtree into the servers with lower ids than the given one and the others.
 func (t *orderTree) split(at *treeNode, id string) (before, from *treeNode) {
 	if at == nil {
 		return nil, nil
@@ -111,7 +112,7 @@
 	return before, at
 }
 
-// remove takes a server out that is in the tree.
+// remove deletes a server that is in the tree.
 func (t *orderTree) remove(s *server) { t.root = t.removeAt(t.root, s.Server) }
 
 func (t *orderTree) removeAt(at *treeNode, id string) *treeNode {
@@ -131,7 +132,7 @@
 	return at
 }
 
-// join makes one subtree of two, all ids of the first being before those of the second.
+// join merges two subtrees; all ids of the first are lower than those of the second.
 func (t *orderTree) join(before, after *treeNode) *treeNode {
 	*t.visits++
 	switch {
@@ -168,66 +169,67 @@
 	at.update()
 }
 
-// at returns the k-th server in id order, counted from 0; nil if there are not so many.
+// at returns the k-th server by id, counted from 0, or nil if there are fewer.
 func (t *orderTree) at(k int) *server {
-	for n, left := t.root, int32(k); n != nil; {
+	for n, remaining := t.root, int32(k); n != nil; {
 		*t.visits++
 		switch before := n.left.count(); {
-		case left < before:
+		case remaining < before:
 			n = n.left
-		case left == before:
+		case remaining == before:
 			return n.server
 		default:
-			left -= before + 1
+			remaining -= before + 1
 			n = n.right
 		}
 	}
 	return nil
 }
 
-// firstFrom returns the first server with the given id or a later one whose key is at most so much; nil if none is.
-func (t *orderTree) firstFrom(id string, key treeKey, most float64) *server {
-	return t.firstIn(t.root, id, key, most)
+// firstFrom returns the first server with the given id or a higher one whose key is at most maxKey, or nil.
+func (t *orderTree) firstFrom(id string, key treeKey, maxKey float64) *server {
+	return t.firstIn(t.root, id, key, maxKey)
 }
 
-func (t *orderTree) firstIn(n *treeNode, from string, key treeKey, most float64) *server {
-	if n == nil || !(n.least[key] <= most) || n.least[key] == absent {
+func (t *orderTree) firstIn(n *treeNode, from string, key treeKey, maxKey float64) *server {
+	if n == nil || !(n.minKeys[key] <= maxKey) || n.minKeys[key] == absent {
 		return nil
 	}
 	*t.visits++
 	if n.server.Server < from {
-		return t.firstIn(n.right, from, key, most)
+		return t.firstIn(n.right, from, key, maxKey)
 	}
-	if s := t.firstIn(n.left, from, key, most); s != nil {
+	if s := t.firstIn(n.left, from, key, maxKey); s != nil {
 		return s
 	}
-	if n.keys[key] <= most && n.keys[key] != absent {
+	if n.keys[key] <= maxKey && n.keys[key] != absent {
 		return n.server
 	}
-	return t.firstIn(n.right, "", key, most)
+	return t.firstIn(n.right, "", key, maxKey)
 }
 
-// first returns the first server from the given one on, and around, whose key is at most so much; nil if none is.
-func (t *orderTree) first(from *server, key treeKey, most float64) *server {
+// first returns the first server from the given one on, wrapping around, whose key is at most maxKey, or nil.
+func (t *orderTree) first(from *server, key treeKey, maxKey float64) *server {
 	if from == nil {
-		return t.firstFrom("", key, most)
+		return t.firstFrom("", key, maxKey)
 	}
-	if s := t.firstFrom(from.Server, key, most); s != nil {
+	if s := t.firstFrom(from.Server, key, maxKey); s != nil {
 		return s
 	}
-	return t.firstFrom("", key, most) // none lies behind from
+	return t.firstFrom("", key, maxKey) // wrap around
 }
 
-// least returns the server with the least key, of several the first from the given one on, and around; nil if there
-// is no key.
-func (t *orderTree) least(from *server, key treeKey) *server {
-	if t.root == nil || t.root.least[key] == absent {
+// minServer returns the server with the lowest key, the first of equals from the given server on, wrapping
+// around; nil if all keys are absent.
+func (t *orderTree) minServer(from *server, key treeKey) *server {
+	if t.root == nil || t.root.minKeys[key] == absent {
 		return nil
 	}
-	return t.first(from, key, t.root.least[key])
+	return t.first(from, key, t.root.minKeys[key])
 }
 
-// each goes through the servers from the given one on, and around, until yield says no.
+// each calls yield for the servers from the given one on, wrapping around, until yield returns false. It
+// reports whether all were visited.
 func (t *orderTree) each(from *server, yield func(*server) bool) bool {
 	if from == nil {
 		return t.eachIn(t.root, "", "", yield)
@@ -235,7 +237,8 @@
 	return t.eachIn(t.root, from.Server, "", yield) && t.eachIn(t.root, "", from.Server, yield)
 }
 
-// eachIn goes through those of a subtree with ids at or behind from and, unless it is empty, before until.
+// eachIn visits the servers of a subtree with ids from the first given one on and, unless until is empty,
+// below until.
 func (t *orderTree) eachIn(n *treeNode, from, until string, yield func(*server) bool) bool {
 	if n == nil {
 		return true
--- a/policy/outcomes.go
+++ b/policy/outcomes.go
@@ -5,106 +5,107 @@
 	"time"
 )
 
-// Outcomes: what an attempt's end tells of its server and its class.
+// Outcomes: what the end of an attempt says about its server and its class.
 
 func (b *Balancer) onFirstByte(e FirstByte) {
-	if r := b.reqs[e.ID]; r != nil && e.Attempt >= 0 && e.Attempt < len(r.attempts) {
-		r.stream = true
+	if r := b.requests[e.ID]; r != nil && e.Attempt >= 0 && e.Attempt < len(r.attempts) {
+		r.streaming = true
 		b.cancel(r, e.Attempt)
 	}
 }
 
 func (b *Balancer) onOutcome(e Outcome) {
-	r := b.reqs[e.ID]
-	if r == nil || e.Attempt < 0 || e.Attempt >= len(r.attempts) || r.attempts[e.Attempt].over {
-		return // late or twice
+	r := b.requests[e.ID]
+	if r == nil || e.Attempt < 0 || e.Attempt >= len(r.attempts) || r.attempts[e.Attempt].ended {
+		return // late or duplicate
 	}
 	a := &r.attempts[e.Attempt]
-	a.over, a.notRun = true, e.Code.NotRun()
-	r.pending--
-	a.server.use(b.now)
+	a.ended, a.notRun = true, e.Code.NotRun()
+	r.openAttempts--
+	a.server.noteConnUse(b.now)
 	a.server.inflight--
 	a.server.keepLateResponse(r, a, e.Code)
-	b.report(a.server, e.Report)
-	r.settle()
+	b.recordLoadReport(a.server, e.Report)
+	r.updateRanOn()
 	b.observe(r, a, e)
-	b.refresh(a.server)
-	if !a.server.gone {
-		b.touch(a.server)
+	b.updateStatus(a.server)
+	if !a.server.delisted {
+		b.markUsed(a.server)
 	}
 	switch {
 	case e.Ended || r.ended || e.Code == OK:
 		b.end(r)
-	case r.pending > 0: // a copy may yet answer
-	case e.Code == NotSent || b.now >= r.deadline || r.stream ||
-		r.ranOn != nil && r.class.Repeat == Never:
+	case r.openAttempts > 0: // a copy may still answer
+	case e.Code == NotSent || b.now >= r.deadline || r.streaming ||
+		r.firstRun != nil && r.class.Repeat == Never:
 		b.giveUp(r, e.Code.String())
 	default:
 		b.dispatch(r)
 	}
 }
 
-// keepLateResponse keeps an attempt that was given up in the count of what s holds. Servers take work in turn: an
-// answer shows that what was sent before it has been taken up.
+// keepLateResponse keeps an attempt that was given up in the count of what is outstanding at s. Servers take up work in
+// order, so an answer shows that everything sent before it was taken up.
 func (s *server) keepLateResponse(r *request, a *attempt, code Code) {
 	switch code {
 	case TimedOut, Cancelled:
-		s.lateResponses = append(s.lateResponses, lateResponse{sent: a.sent, until: a.sent + r.class.Deadline})
+		s.abandoned = append(s.abandoned, abandonedAttempt{sent: a.sent, until: a.sent + r.class.Deadline})
 	case OK:
-		s.lateResponses = slices.DeleteFunc(s.lateResponses, func(g lateResponse) bool { return g.sent <= a.sent })
+		s.abandoned = slices.DeleteFunc(s.abandoned, func(late abandonedAttempt) bool { return late.sent <= a.sent })
 	}
 }
 
-// settle works out which attempt of r may have run first; one without an outcome may have.
-func (r *request) settle() {
-	r.ranOn = nil
+// updateRanOn finds the first attempt of r that may have run; one without an outcome may have.
+func (r *request) updateRanOn() {
+	r.firstRun = nil
 	for i := range r.attempts {
 		if !r.attempts[i].notRun {
-			r.ranOn = &r.attempts[i]
+			r.firstRun = &r.attempts[i]
 			return
 		}
 	}
 }
 
-// observe learns from an outcome: latency, threshold and health.
+// observe updates latency, threshold and health from an outcome.
 func (b *Balancer) observe(r *request, a *attempt, e Outcome) {
 	s, c := a.server, r.class
 	if a.trial {
-		s.health.trialOut = false
+		s.health.trialPending = false
 	}
 	switch e.Code {
 	case NotSent:
 		return
 	case ConnectFailed:
-		if s.Availability != Running { // the node called it off, or the process has ended
+		if s.Availability != Running { // this node cancelled the connect, or the process has ended
 			return
 		}
 	case Cancelled:
-		if !a.trial { // our own doing; but a trial that a second copy had to stand in for has failed
+		// Cancelled by this node itself. But a trial that needed a second copy has failed.
+		if !a.trial {
 			return
 		}
 	case OK, ServerError, Full:
-		s.lastDone = b.now
+		s.lastAnswer = b.now
 	}
-	if e.Code != ConnectFailed && b.dropped(a, e.Code == TimedOut || e.Code == Reset) {
+	if e.Code != ConnectFailed && b.recordIdleLoss(a, e.Code == TimedOut || e.Code == Reset) {
 		return
 	}
-	b.learn(s, c, e.Code, e.Latency)
+	b.updateThreshold(s, c, e.Code, e.Latency)
 	if e.Code == OK || e.Code == TimedOut {
-		s.latency += latencyGain * (e.Latency.Seconds() - s.latency)
+		s.meanLatency += latencyGain * (e.Latency.Seconds() - s.meanLatency)
 	}
 	if e.Code == OK {
-		b.done, b.doneAt = b.doneRate()+1/doneSpan.Seconds(), b.now
-		c.observe(e.Latency)
+		b.decayedAnswerRate, b.answerRateAt = b.answerRate()+1/answerRateWindow.Seconds(), b.now
+		c.updateTail(e.Latency)
 	}
-	b.judge(a, e.Code)
+	b.updateBreaker(a, e.Code)
 }
 
-// observe follows the slow tail of the latency of a class.
-func (c *class) observe(latency time.Duration) {
-	step := -(1 - tailPart)
-	if latency > c.tail {
-		step = tailPart
+// updateTail updates the estimate of the tailQuantile of the latency of a class.
+func (c *class) updateTail(latency time.Duration) {
+	step := -(1 - tailQuantile)
+	if latency > c.tailLatency {
+		step = tailQuantile
 	}
-	c.tail = min(c.Aim, c.tail+time.Duration(tailStep*step*float64(c.tail)))
+	c.tailLatency = min(c.Aim, c.tailLatency+time.Duration(tailStep*step*float64(c.tailLatency)))
 }
--- a/policy/outlier.go
+++ b/policy/outlier.go
@@ -7,102 +7,104 @@
 // Outlier detection: ejection of servers, and half-open trials.
 
 const (
-	failWeight    = 0.3             // of one failure in the score: two in a row eject, a lone one doesn't
-	silenceWeight = 0.15            // of an attempt out for long at a silent server: it may just be heavy
-	fullWeight    = 0.2             // of a full answer: a server that keeps giving those needs a rest
-	failLimit     = 0.5             // score that ejects
-	ejectFirst    = time.Second     // first ejection, doubled each time
-	ejectMost     = 8 * time.Second // up to this
-	maxEjected    = 0.4             // part of the fleet; when more seems broken, the cause isn't the servers
-	trialsNeeded  = 3               // good trials in a row: half of them pass at a server that fails half
-	trialShare    = 0.05            // of a node's requests may go to bad trials: all nodes' together would keep
-	trialMost     = trialsNeeded    // many servers jammed, and cost most requests their time
+	failWeight         = 0.3             // of one failure in the score: two in a row eject, a single one doesn't
+	silenceWeight      = 0.15            // of a slow attempt at a silent server: the request may just be heavy
+	fullWeight         = 0.2             // of a full answer: a server that keeps giving those needs a rest
+	ejectScore         = 0.5             // score above which a server is ejected
+	baseEjectionTime   = time.Second     // first ejection, doubled each time
+	maxEjectionTime    = 8 * time.Second // longest ejection
+	maxEjectedFraction = 0.4             // of the servers open to a class; if more seem bad, the cause isn't the servers
+	trialsNeeded       = 3               // in a row: half of the trials pass at a server that fails half of its requests
+	// trialShare is the fraction of a node's requests that failed trials may use. Without a bound, the trials of all nodes
+	// together would keep many servers overloaded and cost most requests their time.
+	trialShare     = 0.05
+	maxSavedTrials = trialsNeeded // failed trials that may be saved up
 )
 
-// judge moves the breaker of an attempt's server by its outcome.
-func (b *Balancer) judge(a *attempt, code Code) {
+// updateBreaker updates the circuit breaker of an attempt's server by the outcome.
+func (b *Balancer) updateBreaker(a *attempt, code Code) {
 	s, h := a.server, &a.server.health
 	switch {
-	case h.out && a.trial && code == OK:
-		b.trials = min(trialMost, b.trials+1) // it cost nobody anything
-		if h.trials++; h.hung || h.trials >= trialsNeeded {
-			b.setOut(s, false)
-			*h, s.threshold = health{}, b.start(s)
+	case h.ejected && a.trial && code == OK:
+		b.savedTrials = min(maxSavedTrials, b.savedTrials+1) // a successful trial cost nothing, so it doesn't count
+		if h.goodTrials++; h.hung || h.goodTrials >= trialsNeeded {
+			b.setEjected(s, false)
+			*h, s.threshold = health{}, b.initialThreshold(s)
 		}
-	case h.out && a.trial: // full too: a hung server turns away what it has no room for
-		if code.fault() && b.blame < 1 { // it may be well, so it is not put off for longer each time
-			h.times = 0
+	case h.ejected && a.trial: // a full answer fails the trial too: a hung server rejects what it has no room for
+		if code.isFault() && b.faultWeight < 1 { // the server may be healthy, so its ejections don't get longer
+			h.ejections = 0
 		}
 		b.eject(s, code == TimedOut)
 	case code == OK:
-		h.score -= failWeight * b.blame * h.score
-	case code == Full && b.shedEarly():
+		h.score -= failWeight * b.faultWeight * h.score
+	case code == Full && b.serversShedEarly():
 	case code == Full:
 		b.recordFailure(s, fullWeight, code)
-	case code.fault():
-		b.recordFailure(s, failWeight*b.blame, code)
-	case s.lastDone < a.sent: // a server that answers others isn't hung
+	case code.isFault():
+		b.recordFailure(s, failWeight*b.faultWeight, code)
+	case s.lastAnswer < a.sent: // a server that answers others isn't hung
 		b.recordFailure(s, failWeight, code)
 	}
 }
 
-// recordFailure counts a failure, or a silence, against a server.
+// recordFailure counts a failure or a silence against a server, and ejects it if there were too many.
 func (b *Balancer) recordFailure(s *server, weight float64, code Code) {
 	h := &s.health
 	h.score += weight * (1 - h.score)
-	if !h.out && h.score > failLimit && b.mayEject(s) {
+	if !h.ejected && h.score > ejectScore && b.mayEject(s) {
 		b.eject(s, code == TimedOut)
 	}
 }
 
-// mayEject keeps the cap on ejections for each class by itself: the few servers that one may be bound
-// to are not all taken out while the fleet as a whole looks well.
+// mayEject applies the limit on ejections to each class by itself, so that the few servers that one may be bound to are
+// not all ejected while the fleet as a whole looks healthy.
 func (b *Balancer) mayEject(s *server) bool {
 	for _, p := range s.group.pools {
-		if p.named && float64(p.ejected+1) > maxEjected*float64(p.len()) {
+		if p.hasClasses && float64(p.ejectedCount+1) > maxEjectedFraction*float64(p.len()) {
 			return false
 		}
 	}
 	return true
 }
 
-// eject takes s out of service for a while, longer each time. One that was merely silent is most often
-// back soon, and its first answer shows it: it is tried as soon each time, and once.
+// eject takes s out of service for a while, longer each time. A server that was merely silent usually recovers soon,
+// and its first answer shows it: its ejections don't get longer, and one successful trial ends them.
 func (b *Balancer) eject(s *server, hung bool) {
 	h := &s.health
 	if hung {
-		h.times = 0
+		h.ejections = 0
 	}
-	span := min(ejectMost, ejectFirst<<min(h.times, 10))
-	h.hung, h.until, h.trials, h.times = hung, b.now+span, 0, h.times+1
-	b.setOut(s, true)
+	duration := min(maxEjectionTime, baseEjectionTime<<min(h.ejections, 10))
+	h.hung, h.ejectedUntil, h.goodTrials, h.ejections = hung, b.now+duration, 0, h.ejections+1
+	b.setEjected(s, true)
 }
 
-// trial returns an ejected server whose time is up, if r can safely try it out: of the classes that
-// the server is open to, one that may be repeated most freely. A class that isn't in the settings makes no
-// trials where each that is has servers of its own.
-func (b *Balancer) trial(r *request) *server {
-	open := r.class.open
-	if !open.named || open.ejected == 0 || len(r.attempts) > 0 || b.trials < 1 {
+// pickTrial returns an ejected server that is due for a trial, if r can safely make it: of the classes that may use the
+// server, that of r must be one with the fewest limits on repeats. A class that isn't in the settings makes no trials
+// if each class that is has servers of its own.
+func (b *Balancer) pickTrial(r *request) *server {
+	p := r.class.eligible
+	if !p.hasClasses || p.ejectedCount == 0 || len(r.attempts) > 0 || b.savedTrials < 1 {
 		return nil
 	}
-	s := b.firstReady(&open.own, b.fleet.own.first, r.class.Repeat)
+	s := b.firstReady(&p.ownZone, b.fleet.ownZone.walkStart, r.class.Repeat)
 	if s == nil {
-		s = b.firstReady(&open.others, b.fleet.others.first, r.class.Repeat)
+		s = b.firstReady(&p.otherZones, b.fleet.otherZones.walkStart, r.class.Repeat)
 	}
 	if s != nil {
-		s.health.trialOut = true
-		b.trials--
+		s.health.trialPending = true
+		b.savedTrials--
 	}
 	return s
 }
 
-// firstReady is the first ejected server in packing order that may be tried by now with a request that may be repeated
-// as freely as given; nil if there is none.
-func (b *Balancer) firstReady(p *part, from *server, repeat Repeat) (first *server) {
+// firstReady returns the first ejected server in packing order that is due for a trial, and that a request with this
+// Repeat may try; nil if there is none.
+func (b *Balancer) firstReady(p *serverSet, start *server, repeat Repeat) (first *server) {
 	for level := range repeat + 1 {
-		s := p.ejected[level].first(from, readyKey, float64(b.now))
-		if s != nil && (first == nil || b.packed(s, first) < 0) {
+		s := p.ejected[level].first(start, trialAtKey, float64(b.now))
+		if s != nil && (first == nil || b.comparePacking(s, first) < 0) {
 			first = s
 		}
 	}
--- a/policy/overload_test.go
+++ b/policy/overload_test.go
@@ -59,7 +59,7 @@
 	nodes := max(7, 300*o.servers/3200)
 	set := Settings{Node: nodes / 3, Nodes: nodes, WarmKeys: o.keys, Report: []string{"util", "qps"}, Zone: "z",
 		Tenants: []Tenant{{Name: "t", Quota: 1e9}}, Allowed: Allowed{Cancel: true, MaxAttempts: 3},
-		Rules: Rules{DrainGrace: time.Second, ColdShare: 0.2, ColdFor: 20 * time.Second, FallMultiple: 2.5, FallFor: 3 * time.Second}}
+		Rules: Rules{DrainGrace: time.Second, ColdShare: 0.2, ColdFor: 20 * time.Second, OverloadMultiple: 2.5, OverloadFor: 3 * time.Second}}
 	aim := 300 * ms
 	if o.held > 0 { // so that they are held throughout
 		aim = time.Minute
@@ -151,7 +151,7 @@
 
 func (r *overloadRun) request(n int) {
 	e := Request{ID: fmt.Sprint("r", n), Class: fmt.Sprint("c", n%r.classes), Tenant: "t",
-		Key: fmt.Sprint(r.rng.IntN(100)), ExpiresIn: r.b.ranked[0].Deadline}
+		Key: fmt.Sprint(r.rng.IntN(100)), ExpiresIn: r.b.classList[0].Deadline}
 	r.event("request", e)
 }
 
@@ -260,7 +260,7 @@
 			r.b.Handle(r.now, Timer{})
 			most = max(most, *r.b.visits-before)
 		}
-		if _, warm := r.b.crowd(); warm != servers {
+		if _, warm := r.b.warmLoad(); warm != servers {
 			t.Errorf("%d of %d servers count as warm", warm, servers)
 		}
 		return most
--- a/policy/policy_test.go
+++ b/policy/policy_test.go
@@ -7,13 +7,13 @@
 
 func TestBucketRefillsInWholeTokens(t *testing.T) {
 	const ms = time.Millisecond
-	k := bucket{tokens: 0, last: 0}
+	k := bucket{tokens: 0, lastRefill: 0}
 	k.refill(599*ms, 1.667, 100)
-	if k.tokens != 0 || k.last != 0 {
+	if k.tokens != 0 || k.lastRefill != 0 {
 		t.Fatalf("under one token: got %+v, want nothing added and the refill time kept", k)
 	}
 	k.refill(1100*ms, 1.667, 100) // 1.83 tokens: one is added, the fraction is lost
-	if k.tokens != 1 || k.last != 1100*ms {
+	if k.tokens != 1 || k.lastRefill != 1100*ms {
 		t.Fatalf("1.83 tokens: got %+v, want one token and the refill time reset", k)
 	}
 	k.refill(time.Hour, 1.667, 100)
--- a/policy/queue.go
+++ b/policy/queue.go
@@ -6,25 +6,25 @@
 	"slices"
 )
 
-// Requests that wait for a server. They are asked again at each arrival, list and poll, those worth most first, then the
-// oldest. First tries of one class are all alike to the servers: where one finds none, the others find none either, and
-// are not asked.
+// The queue of requests that wait for a server. It is checked again at each arrival, list and poll: requests of highest
+// worth first, then the oldest. Servers treat all first tries of one class alike: where one finds no server, the others
+// don't either and are skipped.
 
-// lane is the waiting requests of one class that were not sent yet, or that were.
+// lane holds the queued requests of one class: those that were not sent yet, or the retries.
 type lane struct {
-	retries bool
-	waiting []*request // oldest first; some have left
-	next    int        // while the queue is asked: whose turn is next in waiting
-	full    bool       // the same: nobody in it finds a server
-	blocked bool       // the same: and the first whose time is not over goes on waiting, as all others do
-	due     []*request // the same: those whose time is over, oldest first
+	retries  bool
+	waiting  []*request // oldest first; some have left the queue
+	next     int        // during a check of the queue: index in waiting of the next request
+	noServer bool       // likewise: no request of the lane finds a server
+	blocked  bool       // likewise: and those that haven't expired stay queued
+	expired  []*request // likewise: those that have expired, oldest first
 }
 
-// requestQueue holds all waiting requests. The zero value is empty.
+// requestQueue holds all queued requests. The zero value is empty.
 type requestQueue struct {
-	lanes  map[laneKey]*lane // those with requests
-	expiry expiryHeap
-	last   uint64 // number of the newest request
+	lanes   map[laneKey]*lane // those with requests
+	expiry  expiryHeap
+	lastSeq uint64 // sequence number of the newest request
 }
 
 type laneKey struct {
@@ -32,19 +32,19 @@
 	retries bool
 }
 
-// queuedRequest is what the queue keeps in each request.
-type queuedRequest struct {
-	number  uint64 // by when it began to wait
-	expires Time   // from then on it is sent or given up
-	at      int    // place in the expiry heap, from 1; 0: it does not wait
+// queueEntry is the part of a request that the queue maintains.
+type queueEntry struct {
+	seq     uint64 // order of queueing
+	expires Time   // from then on the request is sent or given up
+	heapPos int    // position in the expiry heap, from 1; 0 if not queued
 }
 
 func (q *requestQueue) len() int { return len(q.expiry) }
 
-// push lets r wait.
+// push queues r.
 func (q *requestQueue) push(r *request) {
-	q.last++
-	r.entry = queuedRequest{number: q.last, expires: min(r.giveUp-queuePoll, r.worthTo)}
+	q.lastSeq++
+	r.queueEntry = queueEntry{seq: q.lastSeq, expires: min(r.refuseAt-queuePollInterval, r.usefulUntil)}
 	key := laneKey{r.class, len(r.attempts) > 0}
 	l := q.lanes[key]
 	if l == nil {
@@ -58,89 +58,90 @@
 	heap.Push(&q.expiry, r)
 }
 
-// drop ends r's wait, if it waits.
-func (q *requestQueue) drop(r *request) {
-	if r.entry.at > 0 {
-		heap.Remove(&q.expiry, r.entry.at-1)
+// remove takes r out of the queue, if it is queued.
+func (q *requestQueue) remove(r *request) {
+	if r.queueEntry.heapPos > 0 {
+		heap.Remove(&q.expiry, r.queueEntry.heapPos-1)
 	}
 }
 
-// open returns the lanes with requests, those whose time to wait is over being told apart.
-func (q *requestQueue) open(now Time) []*lane {
-	var open []*lane
+// activeLanes returns the lanes with requests, each with its expired requests, and drops the empty ones.
+func (q *requestQueue) activeLanes(now Time) []*lane {
+	var active []*lane
 	for key, l := range q.lanes {
 		l.next = 0
-		l.skipGone()
+		l.skipDeparted()
 		l.waiting, l.next = l.waiting[l.next:], 0
 		if len(l.waiting) == 0 {
 			delete(q.lanes, key)
 			continue
 		}
-		l.full, l.blocked, l.due = false, false, l.due[:0]
-		open = append(open, l)
+		l.noServer, l.blocked, l.expired = false, false, l.expired[:0]
+		active = append(active, l)
 	}
-	q.markDue(0, now)
-	for _, l := range open {
-		slices.SortFunc(l.due, func(x, y *request) int { return cmp.Compare(x.entry.number, y.entry.number) })
+	q.collectExpired(0, now)
+	for _, l := range active {
+		slices.SortFunc(l.expired, func(x, y *request) int { return cmp.Compare(x.queueEntry.seq, y.queueEntry.seq) })
 	}
-	return open
+	return active
 }
 
-// markDue tells the lanes of the requests at and below a place of the heap whose time is over.
-func (q *requestQueue) markDue(at int, now Time) {
-	if at >= len(q.expiry) || q.expiry[at].entry.expires > now {
+// collectExpired adds the expired requests at and below a position of the heap to their lanes.
+func (q *requestQueue) collectExpired(at int, now Time) {
+	if at >= len(q.expiry) || q.expiry[at].queueEntry.expires > now {
 		return
 	}
 	r := q.expiry[at]
 	l := q.lanes[laneKey{r.class, len(r.attempts) > 0}]
-	l.due = append(l.due, r)
-	q.markDue(2*at+1, now)
-	q.markDue(2*at+2, now)
+	l.expired = append(l.expired, r)
+	q.collectExpired(2*at+1, now)
+	q.collectExpired(2*at+2, now)
 }
 
-// skipGone passes over those that have left.
-func (l *lane) skipGone() {
-	for l.next < len(l.waiting) && gone(l.waiting[l.next]) {
+// skipDeparted advances past requests that have left the queue.
+func (l *lane) skipDeparted() {
+	for l.next < len(l.waiting) && departed(l.waiting[l.next]) {
 		l.next++
 	}
 }
 
-// gone tells whether a request of a lane has left: nil stands for one that was sent, and may wait in another lane by now.
-func gone(r *request) bool { return r == nil || r.entry.at == 0 }
+// departed reports whether a request of a lane has left it. One that was sent is replaced with nil, as it may be queued
+// in another lane by now.
+func departed(r *request) bool { return r == nil || r.queueEntry.heapPos == 0 }
 
-// head is the request whose turn is next; nil if nobody's is. Of a blocked lane only those count whose time is over.
+// head returns the next request, or nil if there is none. Of a blocked lane only expired requests count.
 func (l *lane) head() *request {
 	if l.blocked {
-		for len(l.due) > 0 && gone(l.due[0]) {
-			l.due = l.due[1:]
+		for len(l.expired) > 0 && departed(l.expired[0]) {
+			l.expired = l.expired[1:]
 		}
-		if len(l.due) == 0 {
+		if len(l.expired) == 0 {
 			return nil
 		}
-		return l.due[0]
+		return l.expired[0]
 	}
-	l.skipGone()
+	l.skipDeparted()
 	if l.next == len(l.waiting) {
 		return nil
 	}
 	return l.waiting[l.next]
 }
 
-// pass leaves the head waiting, and goes on behind it.
-func (l *lane) pass(r *request) {
+// keepWaiting leaves r, the head, in the queue and moves on to the next request.
+func (l *lane) keepWaiting(r *request) {
 	l.next++
-	for len(l.due) > 0 && l.due[0].entry.number <= r.entry.number {
-		l.due = l.due[1:]
+	for len(l.expired) > 0 && l.expired[0].queueEntry.seq <= r.queueEntry.seq {
+		l.expired = l.expired[1:]
 	}
 }
 
-// laneHeap is lanes by whose head's turn is first: worth most, then waiting longest. All have a head.
+// laneHeap orders lanes by their heads: highest worth first, then longest queued. Every lane in it has a head.
 type laneHeap []*lane
 
 func (h laneHeap) Len() int { return len(h) }
 func (h laneHeap) Less(i, j int) bool {
 	x, y := h[i].head(), h[j].head()
-	return cmp.Or(cmp.Compare(y.class.Worth, x.class.Worth), cmp.Compare(x.entry.number, y.entry.number)) < 0
+	return cmp.Or(cmp.Compare(y.class.Worth, x.class.Worth), cmp.Compare(x.queueEntry.seq, y.queueEntry.seq)) < 0
 }
 func (h laneHeap) Swap(i, j int) { h[i], h[j] = h[j], h[i] }
 func (h *laneHeap) Push(l any)   { *h = append(*h, l.(*lane)) }
@@ -151,56 +152,56 @@
 	return l
 }
 
-// expiryHeap is waiting requests by when their time to wait is over.
+// expiryHeap orders queued requests by expiry.
 type expiryHeap []*request
 
 func (h expiryHeap) Len() int           { return len(h) }
-func (h expiryHeap) Less(i, j int) bool { return h[i].entry.expires < h[j].entry.expires }
+func (h expiryHeap) Less(i, j int) bool { return h[i].queueEntry.expires < h[j].queueEntry.expires }
 func (h expiryHeap) Swap(i, j int) {
 	h[i], h[j] = h[j], h[i]
-	h[i].entry.at, h[j].entry.at = i+1, j+1
+	h[i].queueEntry.heapPos, h[j].queueEntry.heapPos = i+1, j+1
 }
 func (h *expiryHeap) Push(r any) {
 	*h = append(*h, r.(*request))
-	r.(*request).entry.at = len(*h)
+	r.(*request).queueEntry.heapPos = len(*h)
 }
 func (h *expiryHeap) Pop() any {
 	last := len(*h) - 1
 	r := (*h)[last]
 	(*h)[last] = nil
-	*h, r.entry.at = (*h)[:last], 0
+	*h, r.queueEntry.heapPos = (*h)[:last], 0
 	return r
 }
 
-// Waiting is how many requests wait for a server.
+// Waiting returns how many requests are queued for a server.
 func (b *Balancer) Waiting() int { return b.queue.len() }
 
-// enqueue lets r wait for a server.
+// enqueue queues r until a server is available.
 func (b *Balancer) enqueue(r *request) {
-	r.queued = true
+	r.wasQueued = true
 	b.queue.push(r)
-	b.pollQueue()
+	b.scheduleQueuePoll()
 }
 
-// pollQueue has the queue asked again soon.
-func (b *Balancer) pollQueue() {
-	if !b.queueTimer {
-		b.queueTimer = true
-		b.do(Action{Kind: SetTimer, Wait: queuePoll, Token: queueToken})
+// scheduleQueuePoll sets the timer for the next check of the queue, unless it is set.
+func (b *Balancer) scheduleQueuePoll() {
+	if !b.queueTimerSet {
+		b.queueTimerSet = true
+		b.emit(Action{Kind: SetTimer, Wait: queuePollInterval, Token: queueToken})
 	}
 }
 
-// release asks again whether there are servers for the waiting requests.
-func (b *Balancer) release() {
+// dispatchQueued tries again to send the queued requests.
+func (b *Balancer) dispatchQueued() {
 	if b.queue.len() == 0 {
-		clear(b.queue.lanes) // they may hold requests that have left
+		clear(b.queue.lanes) // they may refer to requests that have left the queue
 		return
 	}
-	lanes := laneHeap(slices.DeleteFunc(b.queue.open(b.now), func(l *lane) bool { return l.head() == nil }))
+	lanes := laneHeap(slices.DeleteFunc(b.queue.activeLanes(b.now), func(l *lane) bool { return l.head() == nil }))
 	heap.Init(&lanes)
 	for len(lanes) > 0 {
 		l := lanes[0]
-		b.ask(l, l.head())
+		b.dispatchHead(l, l.head())
 		if l.head() == nil {
 			heap.Pop(&lanes)
 		} else {
@@ -209,33 +210,33 @@
 	}
 }
 
-// ask sees to the head of a lane: it is sent, given up, or goes on waiting.
-func (b *Balancer) ask(l *lane, r *request) {
+// dispatchHead sends the head of a lane, gives it up, or leaves it queued.
+func (b *Balancer) dispatchHead(l *lane, r *request) {
 	*b.visits++
 	switch {
 	case b.exhausted(r):
-		b.queue.drop(r)
+		b.queue.remove(r)
 		b.giveUp(r, "no attempts left")
-	case !l.full && b.trySend(r):
-		b.queue.drop(r)
+	case !l.noServer && b.trySend(r):
+		b.queue.remove(r)
 		l.waiting[l.next] = nil
-	case b.now >= r.entry.expires:
-		l.full = l.full || b.blocks(l, r)
-		b.queue.drop(r)
+	case b.now >= r.queueEntry.expires:
+		l.noServer = l.noServer || b.blocksLane(l, r)
+		b.queue.remove(r)
 		b.giveUp(r, "no server has room")
 	default:
-		b.pollQueue()
-		if l.full = l.full || b.blocks(l, r); l.full {
+		b.scheduleQueuePoll()
+		if l.noServer = l.noServer || b.blocksLane(l, r); l.noServer {
 			l.blocked = true
 		} else {
-			l.pass(r)
+			l.keepWaiting(r)
 		}
 	}
 }
 
-// blocks tells whether nobody else in the lane of r, which has found no server, finds one. Others that were sent before may
-// go to a server that has had r.
-func (b *Balancer) blocks(l *lane, r *request) bool {
+// blocksLane reports whether no other request in the lane of r finds a server, given that r found none. Other retries
+// may go to a server that r was already sent to.
+func (b *Balancer) blocksLane(l *lane, r *request) bool {
 	if !l.retries {
 		return true
 	}
--- a/policy/random_test.go
+++ b/policy/random_test.go
@@ -62,7 +62,7 @@
 		set.Tenants = nil
 	}
 	if seed%2 == 1 {
-		set.Rules.Attempts = &Budget{Least: float64(rng.IntN(3)), Share: 0.05, Span: 5 * time.Second}
+		set.Rules.AttemptBudget = &AttemptBudget{MinExtra: float64(rng.IntN(3)), ExtraShare: 0.05, Span: 5 * time.Second}
 	}
 	for i := range set.Classes { // windows shorter than the time a request is worth another attempt
 		set.Classes[i].Window = time.Duration(20+rng.IntN(150)) * ms
@@ -208,7 +208,7 @@
 // ration checks the budget of attempts by its own count.
 func (w *world) ration() {
 	w.extra = append(w.extra, w.now)
-	q := w.set.Rules.Attempts
+	q := w.set.Rules.AttemptBudget
 	if q == nil {
 		return
 	}
@@ -220,7 +220,7 @@
 		}
 		return n
 	}
-	if n, most := within(w.extra), q.Least+q.Share*float64(within(w.took)); float64(n) > most {
+	if n, most := within(w.extra), q.MinExtra+q.ExtraShare*float64(within(w.took)); float64(n) > most {
 		w.t.Errorf("%d attempts beyond the first in %v, at most %v allowed", n, q.Span, most)
 	}
 }
@@ -267,7 +267,7 @@
 		w.change()
 	case 1:
 		w.event(Timer{Token: w.rng.Uint64()})
-		w.event(Lapsed{ID: "nobody"})
+		w.event(ClientGone{ID: "nobody"})
 		w.event(Outcome{ID: "nobody", Server: "nowhere"})
 		w.event(ProbeResult{Server: "nowhere"})
 		w.event(PeerMessage{From: 99, Body: "\x00"})
@@ -295,7 +295,7 @@
 		w.later(ms, func() {
 			if !p.ended {
 				p.ended = true
-				w.event(Lapsed{ID: r.ID})
+				w.event(ClientGone{ID: r.ID})
 			}
 		})
 	}
@@ -361,7 +361,7 @@
 	for range 3000 {
 		w.step()
 	}
-	if n := len(w.b.reqs); n > 600 {
+	if n := len(w.b.requests); n > 600 {
 		t.Errorf("%d requests kept", n)
 	}
 }
