--- a/policy/routing.go
+++ b/policy/routing.go
@@ -6,41 +6,41 @@
 	"time"
 )
 
-// Routing: packing in id order under a learned threshold (DESIGN).
+// Routing: fills servers in ID order, each up to a learned threshold (see DESIGN).
 
 const (
-	manyNodes         = 3          // nodes; more would jam the first server, so each walks from elsewhere
-	startFew          = 6.0        // attempts first trusted to a server by all nodes, one each at least
-	startOthers       = 1.0        // where keys have homes, to one of another zone by all nodes together,
-	startShared       = 3.0        // and to one that all nodes of a zone share by key
-	leastPart         = 0.7        // part of a node's even part of startFew below which no threshold falls
-	thresholdGrow     = 0.05       // attempts a good answer adds; against slowCut, a sixth may be slow
-	slowCut           = 0.25       // attempts a slow answer takes off
-	trustGrow         = 0.02       // part by which a good answer raises the trust in shared servers
-	trustCut          = 0.1        // and a bad one lowers it: against trustGrow, a sixth may be bad
-	trustMost         = 8.0        // times the first trust; 20 was no better
-	failureCut        = 0.3        // attempts a full answer or a failure takes off
-	faultGain         = 0.05       // weight of one outcome in a server's part of faults
-	faultCommon       = 0.08       // part at every other server from which faults tell nothing,
-	blameLeast        = 0.25       // so that each counts for so much less
-	fullEnough        = 0.2        // part of full answers among bad ones from which servers shed early
-	lostMost          = 0.1        // part of the other answers that may time out there
-	fullGain, badGain = 0.02, 0.01 // weight of one answer in these parts, and in that of bad answers
-	stallTimes        = 5.0        // mean gaps between its answers from which a silent server is stalled
-	busyGain          = 0.05       // weight of one report in how busy the servers are
-	busyFrom          = 0.7        // part of the servers' cores in use from which a node keeps to less,
-	busyFull          = 0.95       // down to no more than the servers take at once
-	easeLeast         = 0.05       // part of that below which late answers make no node have less out
-	crowdLimit        = 2.0        // times its limit, the least busy is filled; more would only be late
-	slowPart          = 0.4        // part of the aim from which an answer tells of a crowd; later, queues jam
-	keyCandidates     = 3          // servers that keep a key warm in each zone
+	maxUnstaggeredNodes  = 3          // more would overload the first server, so each starts its walk elsewhere
+	initialTotal         = 6.0        // attempts that all nodes together first allow a server, at least one each
+	initialTotalRemote   = 1.0        // where keys have preferred servers: the same for a server of another zone,
+	initialTotalShared   = 3.0        // and for one that all nodes of its zone share by key
+	minThresholdFraction = 0.7        // of a node's even share of initialTotal: lower bound of a threshold
+	thresholdIncrease    = 0.05       // attempts added by a good answer; against slowDecrease, one in six may be slow
+	slowDecrease         = 0.25       // attempts that a slow answer removes
+	sharedScaleIncrease  = 0.02       // fraction by which a good answer raises the trust in shared servers
+	sharedScaleDecrease  = 0.1        // and by which a bad one lowers it: against sharedScaleIncrease, one in six may be bad
+	maxSharedScale       = 8.0        // multiple of the initial trust; 20 was no better
+	failureDecrease      = 0.3        // attempts that a full answer or a failure removes
+	faultGain            = 0.05       // weight of one outcome in a server's fault rate
+	commonFaultRate      = 0.08       // fault rate of the median server from which faults say nothing about a single one,
+	minFaultWeight       = 0.25       // and the weight that each fault keeps then
+	shedEarlyMinFull     = 0.2        // fraction of full answers among bad ones at which servers count as shedding early
+	shedEarlyMaxTimeouts = 0.1        // fraction of timeouts among other answers below which they do
+	fullGain, badGain    = 0.02, 0.01 // weight of one answer in these fractions, and in that of bad answers
+	hungGapMultiple      = 5.0        // mean intervals between answers after which a silent server counts as hung
+	coreUseGain          = 0.05       // weight of one load report in the mean core use of the servers
+	highCoreUse          = 0.7        // fraction of the servers' cores in use from which a node sends them less,
+	fullCoreUse          = 0.95       // down to no more than the servers process at once
+	minFairShareScale    = 0.05       // lower bound of the factor by which late answers reduce a node's fair share
+	overcommitLimit      = 2.0        // times its limit, the least loaded server is filled; more would only be late
+	slowFraction         = 0.4        // fraction of the aim at which an answer indicates overload; later, queues build up
+	keyCandidates        = 3          // servers in each zone that keep a key warm
 )
 
-// pick chooses a server: the first ready one in id order that holds fewer of this node's attempts
-// than its threshold, else the least busy; nil where none may be used. Room is also reported where
-// the least busy was never cut: what it takes is not known yet.
+// pick chooses a server: a candidate for the key of r with room, then the first server in packing order that is below
+// its threshold, else the least loaded one; nil if none may be used. room is also true if the threshold of the least
+// loaded one was never lowered, as its capacity isn't known yet.
 func (b *Balancer) pick(r *request) (s *server, room bool) {
-	p := b.openTo(r)
+	p := b.eligiblePool(r)
 	if p == nil {
 		return nil, false
 	}
@@ -49,215 +49,222 @@
 			return s, true
 		}
 	}
-	defer p.hide(r.attempts)()
-	// Few of many walks reach a cold server, but all nodes have a part in its budget.
-	if s := b.firstWithRoom(p, (*part).coldTree); s != nil {
+	defer p.excludeTried(r.attempts)()
+	// Few nodes reach a given cold server in their walks, but each node has a share of its budget.
+	if s := b.firstWithRoom(p, (*serverSet).coldTree); s != nil {
 		return s, true
 	}
-	if b.crowded() {
+	if b.atFairShare() {
 		return nil, false
 	}
-	if s := b.firstWithRoom(p, (*part).servingTree); s != nil {
+	if s := b.firstWithRoom(p, (*serverSet).servingTree); s != nil {
 		return s, true
 	}
-	least := b.leastBusy(p)
-	if least != nil && b.utilization(least) > crowdLimit && !b.shedEarly() {
-		return nil, !least.felt
+	least := b.leastLoaded(p)
+	if least != nil && b.utilization(least) > overcommitLimit && !b.serversShedEarly() {
+		return nil, !least.thresholdCut
 	}
-	return least, least != nil && !least.felt
+	return least, least != nil && !least.thresholdCut
 }
 
-// openTo is the servers that r may be sent to, but for those that it was sent to; nil for none. It guards the second
-// rule: what may have run only goes where repeats are dropped.
-func (b *Balancer) openTo(r *request) *pool {
-	open := r.class.open
-	switch b.repeatsWithin(r) {
-	case withinAll:
+// eligiblePool returns the servers that r may be sent to, including those that it was already sent to; nil for none.
+// It enforces rule 2: a request that may have run is only repeated where duplicates are dropped.
+func (b *Balancer) eligiblePool(r *request) *pool {
+	open := r.class.eligible
+	switch b.repeatScope(r) {
+	case scopeAll:
 		return open
-	case withinZone:
-		return open.zones[r.ranOn.server.Zone]
-	case withinCell:
-		return open.cells[r.ranOn.server.Cell]
+	case scopeZone:
+		return open.zonePools[r.firstRun.server.Zone]
+	case scopeCell:
+		return open.cellPools[r.firstRun.server.Cell]
 	}
 	return nil
 }
 
-// reach is how far from the server that may have run it a request may go.
-type reach int
+// scope is how far from the server that may have run a request it may be sent.
+type scope int
 
 const (
-	nowhere reach = iota
-	withinCell
-	withinZone
-	withinAll
+	scopeNone scope = iota
+	scopeCell
+	scopeZone
+	scopeAll
 )
 
-// repeatsWithin tells where r may be sent by what may have run of it: the second rule in one place.
-func (b *Balancer) repeatsWithin(r *request) reach {
+// repeatScope returns where r may be sent, given which of its attempts may have run. Only this decides on rule 2.
+func (b *Balancer) repeatScope(r *request) scope {
 	switch {
-	case r.ranOn == nil || r.class.Repeat == Free:
-		return withinAll
-	case r.class.Repeat != Guarded || b.now >= r.ranOn.sent+r.class.Window:
-		return nowhere
+	case r.firstRun == nil || r.class.Repeat == Free:
+		return scopeAll
+	case r.class.Repeat != Guarded || b.now >= r.firstRun.sent+r.class.Window:
+		return scopeNone
 	case r.class.Group == GroupAll:
-		return withinAll
+		return scopeAll
 	case r.class.Group == GroupZone:
-		return withinZone
+		return scopeZone
 	}
-	return withinCell
+	return scopeCell
 }
 
-// hide keeps the servers of attempts from being found in p, until what it returns is called.
-func (p *pool) hide(attempts []attempt) (restore func()) {
+// excludeTried hides the servers of attempts from searches in p until restore is called.
+func (p *pool) excludeTried(attempts []attempt) (restore func()) {
 	if len(attempts) == 0 {
 		return func() {}
 	}
-	set := func(hidden bool) {
+	setHidden := func(hidden bool) {
 		for i := range attempts {
 			s := attempts[i].server
-			if !s.in {
+			if !s.inService {
 				continue
 			}
 			keys := s.status.keys
 			if hidden {
 				keys = allAbsent
 			}
-			part := p.part(s)
+			part := p.setOf(s)
 			part.serving.set(s, keys)
 			if s.status.cold {
 				part.cold.set(s, keys)
 			}
 		}
 	}
-	set(true)
-	return func() { set(false) }
+	setHidden(true)
+	return func() { setHidden(false) }
 }
 
-func (p *part) coldTree() *orderTree    { return &p.cold }
-func (p *part) servingTree() *orderTree { return &p.serving }
+func (p *serverSet) coldTree() *orderTree    { return &p.cold }
+func (p *serverSet) servingTree() *orderTree { return &p.serving }
 
-// firstWithRoom is the first server with room in packing order, of one kind of tree; nil if there is none.
-func (b *Balancer) firstWithRoom(p *pool, tree func(*part) *orderTree) *server {
-	most := math.Nextafter(b.scale(), 0) // under the threshold
-	if s := tree(&p.own).first(b.fleet.own.first, roomKey, most); s != nil {
+// firstWithRoom returns the first server with room in packing order, in the trees of one kind; nil if there is none.
+func (b *Balancer) firstWithRoom(p *pool, tree func(*serverSet) *orderTree) *server {
+	maxLoad := math.Nextafter(b.thresholdScale(), 0) // strictly below the threshold
+	if s := tree(&p.ownZone).first(b.fleet.ownZone.walkStart, roomKey, maxLoad); s != nil {
 		return s
 	}
-	return tree(&p.others).first(b.fleet.others.first, roomKey, most)
+	return tree(&p.otherZones).first(b.fleet.otherZones.walkStart, roomKey, maxLoad)
 }
 
-// leastBusy is the least busy server, of several the first in packing order; nil if all are hung or out of use.
-func (b *Balancer) leastBusy(p *pool) *server {
-	own := p.own.serving.least(b.fleet.own.first, loadKey)
-	others := p.others.serving.least(b.fleet.others.first, loadKey)
+// leastLoaded returns the least loaded server, of several the first in packing order; nil if all are hung or
+// out of use.
+func (b *Balancer) leastLoaded(p *pool) *server {
+	own := p.ownZone.serving.minServer(b.fleet.ownZone.walkStart, loadKey)
+	others := p.otherZones.serving.minServer(b.fleet.otherZones.walkStart, loadKey)
 	if own == nil || others != nil && others.status.keys[loadKey] < own.status.keys[loadKey] {
 		return others
 	}
 	return own
 }
 
-// hashCandidates are the servers that all nodes of a zone try first, in turn, for a key that a server serves
-// with less work if it met it lately: hot keys and those of a lost server stay warm. Rendezvous hashing
-// keeps them where they are as servers come and go.
+// hashCandidates returns the servers that all nodes of a zone try first, in this order, for the key of r. A server that
+// served a key lately serves it with less work; as all nodes agree on several servers, hot keys and those of a lost
+// server stay warm. Rendezvous hashing leaves the other keys in place when servers come and go.
 func (b *Balancer) hashCandidates(r *request) (best [keyCandidates]*server) {
-	if r.key == 0 {
+	if r.keyHash == 0 {
 		return best
 	}
-	return r.class.open.own.keys.candidates(r.key)
+	return r.class.eligible.ownZone.keys.candidates(r.keyHash)
 }
 
-// isHung tells whether s has been silent for so long that chance hardly explains it: with n requests of a
-// mean latency, answers come n times as often. It may be back any moment, so it isn't ejected for that;
-// but what is sent meanwhile piles up, and all of it is late.
+// isHung reports whether s has been silent for longer than chance is likely to explain: with n requests of a given mean
+// latency in flight, answers come n times as often. It may recover at any moment and so isn't ejected for that, but
+// what is sent meanwhile piles up there, and all of it is late.
 func (b *Balancer) isHung(s *server) bool { return s.inflight > 0 && b.now > b.hungAt(s) }
 
-// hungAt is the time after which s counts as hung, if it answers nothing more and has attempts out.
+// hungAt returns the time after which s counts as hung if it has attempts in flight and answers none before.
 func (b *Balancer) hungAt(s *server) Time {
-	gap := seconds(stallTimes * s.latency / float64(max(1, b.holds(s))))
-	return max(s.lastDone, s.busyFrom) + gap
+	gap := seconds(hungGapMultiple * s.meanLatency / float64(max(1, b.outstanding(s))))
+	return max(s.lastAnswer, s.busySince) + gap
 }
 
-// start is what s is first trusted with by this node.
-func (b *Balancer) start(s *server) float64 {
+// initialThreshold returns the threshold at which this node starts with s.
+func (b *Balancer) initialThreshold(s *server) float64 {
 	switch {
 	case !b.staggered():
-		return max(1, startFew/float64(b.set.Nodes))
-	case !b.set.WarmKeys:
+		return max(1, initialTotal/float64(b.settings.Nodes))
+	case !b.settings.WarmKeys:
 		return 1
-	case s.own:
-		return min(1, startShared*float64(len(b.zones))/float64(b.set.Nodes))
+	case s.inOwnZone:
+		return min(1, initialTotalShared*float64(len(b.serversByZone))/float64(b.settings.Nodes))
 	default:
-		return min(1, startOthers/float64(b.set.Nodes))
+		return min(1, initialTotalRemote/float64(b.settings.Nodes))
 	}
 }
 
-// many tells whether nodes outnumber the attempts that a server takes.
-func (b *Balancer) many() bool { return !b.set.WarmKeys && float64(b.set.Nodes) > startFew }
+// oversubscribed reports whether there are more nodes than attempts that a server processes at once.
+func (b *Balancer) oversubscribed() bool {
+	return !b.settings.WarmKeys && float64(b.settings.Nodes) > initialTotal
+}
 
-// crowded tells whether this node has its even part of what all nodes may have out together. For many, a
-// threshold of one each is no bound: those whose walks reach a server fill it by far, long before the
-// outcomes tell any of them. While servers have spare cores, the part is crowdLimit times what they take
-// at once, so that chance at one node refuses nothing. Cold servers have a budget of their own, and keep
-// what they have for long.
-func (b *Balancer) crowded() bool {
-	if !b.many() {
+// atFairShare reports whether this node has its even share of the attempts that all nodes together may have in flight.
+// With many nodes, a threshold of one each is no bound: the nodes whose walks reach a server overfill it long before
+// outcomes show it to any of them. While servers have spare cores, the share is overcommitLimit times what they process
+// at once, so that a random peak at one node causes no refusals. Cold servers don't count: they have a budget of their
+// own and keep their requests for long.
+func (b *Balancer) atFairShare() bool {
+	if !b.oversubscribed() {
 		return false
 	}
-	out, warm := b.crowd()
-	spare := min(1, max(0, (busyFull-b.busy)/(busyFull-busyFrom)))
-	return float64(out) >= max(1, b.ease*(1+spare*(crowdLimit-1))*startFew*float64(warm)/float64(b.set.Nodes))
+	inFlight, warmServers := b.warmLoad()
+	spare := min(1, max(0, (fullCoreUse-b.coreUse)/(fullCoreUse-highCoreUse)))
+	return float64(inFlight) >= max(1, b.fairShareScale*(1+spare*(overcommitLimit-1))*initialTotal*float64(warmServers)/float64(b.settings.Nodes))
 }
 
-// utilization sets attempts in flight against what s was seen to take, lest one that others fill look idle.
-func (b *Balancer) utilization(s *server) float64 { return float64(b.holds(s)+1) / b.limit(s) }
+// utilization compares attempts, with one more, with the observed capacity of s: servers filled by other nodes would
+// look idle by attempts alone.
+func (b *Balancer) utilization(s *server) float64 { return float64(b.outstanding(s)+1) / b.limit(s) }
 
-// holds is how many of this node's attempts s still has: those out, and those given up that it may yet
-// work on, for a time-out frees nothing there. Until it answers one sent later, they wait or run.
-func (b *Balancer) holds(s *server) int {
-	s.lateResponses = slices.DeleteFunc(s.lateResponses, func(g lateResponse) bool { return g.until <= b.now })
-	return s.inflight + len(s.lateResponses)
+// outstanding returns how many of this node's attempts s still has: those in flight and those given up that it may
+// still work on, since a timeout frees nothing there. The latter count until s answers an attempt sent later, or until
+// their deadline.
+func (b *Balancer) outstanding(s *server) int {
+	s.abandoned = slices.DeleteFunc(s.abandoned, func(late abandonedAttempt) bool { return late.until <= b.now })
+	return s.inflight + len(s.abandoned)
 }
 
-// limit is the threshold of s, for shared servers scaled by the trust in all such: a node sees too
-// little of each to learn its threshold in time.
-func (b *Balancer) limit(s *server) float64 { return s.threshold * b.scale() }
+// limit returns the threshold of s, scaled for shared servers by the common trust in them: a node sees too little of
+// each to learn its threshold in time.
+func (b *Balancer) limit(s *server) float64 { return s.threshold * b.thresholdScale() }
 
-// scale is what thresholds are multiplied by.
-func (b *Balancer) scale() float64 {
-	if b.scaled() {
-		return b.trust
+// thresholdScale returns the factor on all thresholds.
+func (b *Balancer) thresholdScale() float64 {
+	if b.serversShared() {
+		return b.sharedThresholdScale
 	}
 	return 1
 }
 
-// scaled tells whether other nodes send servers most of their work: they are the homes of keys for all.
-func (b *Balancer) scaled() bool { return b.staggered() && b.set.WarmKeys }
+// serversShared reports whether servers get most of their work from other nodes, as the preferred servers of keys for
+// all of them.
+func (b *Balancer) serversShared() bool { return b.staggered() && b.settings.WarmKeys }
 
-// hasRoom tells whether a server is under its threshold. A threshold under one is kept in time.
+// hasRoom reports whether s is below its limit and not hung. A limit below one is enforced by spacing sends in time.
 func (b *Balancer) hasRoom(s *server) bool {
-	return float64(b.holds(s)) < b.limit(s) && !b.isHung(s) && b.now >= b.pacedUntil(s)
+	return float64(b.outstanding(s)) < b.limit(s) && !b.isHung(s) && b.now >= b.nextSendAt(s)
 }
 
-// pacedUntil is when a server without attempts may have one, by a threshold under one.
-func (b *Balancer) pacedUntil(s *server) Time {
+// nextSendAt returns when a server without attempts may get one, where its limit is below one.
+func (b *Balancer) nextSendAt(s *server) Time {
 	limit := b.limit(s)
 	if limit >= 1 {
 		return 0
 	}
-	return s.lastSend + seconds(s.latency*(1/limit-1))
+	return s.lastSend + seconds(s.meanLatency*(1/limit-1))
 }
 
-// usable tells whether r may go to s now: s is in service, the rules allow it, and, if cold, it has room.
+// usable reports whether r may go to s now: s isn't ejected, the rules allow it and, if it is cold, so does its budget.
 func (b *Balancer) usable(r *request, s *server) bool {
-	return !s.health.out && b.mayRun(r, s) && b.coldRoom(s)
+	return !s.health.ejected && b.mayRun(r, s) && b.coldBudgetAllows(s)
 }
 
-// permits guards the fifth rule: a class bound to zones or kinds of server goes nowhere else.
+// permits enforces rule 5: a class bound to zones or kinds of server is sent nowhere else.
 func (c *class) permits(s *server) bool {
 	return (len(c.Kinds) == 0 || slices.Contains(c.Kinds, s.Kind)) &&
 		(len(c.Zones) == 0 || slices.Contains(c.Zones, s.Zone))
 }
 
-// mayRun guards the fifth rule, and the second: what may have run only goes where repeats are dropped.
+// mayRun enforces rule 5, and rule 2: a request that may have run is only repeated where duplicates are dropped. It
+// also keeps a request from being sent to a server twice.
 func (b *Balancer) mayRun(r *request, s *server) bool {
 	if !r.class.permits(s) {
 		return false
@@ -267,67 +274,70 @@
 			return false
 		}
 	}
-	switch b.repeatsWithin(r) {
-	case withinAll:
+	switch b.repeatScope(r) {
+	case scopeAll:
 		return true
-	case withinZone:
-		return s.Zone == r.ranOn.server.Zone
-	case withinCell:
-		return s.Cell == r.ranOn.server.Cell
+	case scopeZone:
+		return s.Zone == r.firstRun.server.Zone
+	case scopeCell:
+		return s.Cell == r.firstRun.server.Cell
 	}
 	return false
 }
 
-// shedEarly tells whether servers turn work away before it waits too long. Then a full answer is cheap
-// and safe, and the node offers requests past the crowd limit, keeps bucket rates at the shares and
-// ejects nobody for full answers. It guards against shocks that leave every threshold low while there
-// is room; it could do harm where they jam all the same, so time-outs end it, and late answers count.
-func (b *Balancer) shedEarly() bool { return b.fullPart >= fullEnough && b.lost < lostMost }
+// serversShedEarly reports whether servers reject work before it waits too long. A full answer is then cheap and safe:
+// the node offers requests past overcommitLimit, doesn't lower bucket rates below the shares, and ejects no server for
+// full answers. This is for load spikes that leave every threshold low although there is room. It could do harm where
+// servers are overloaded all the same, so timeouts end it, and late answers still count.
+func (b *Balancer) serversShedEarly() bool {
+	return b.fullFraction >= shedEarlyMinFull && b.timeoutFraction < shedEarlyMaxTimeouts
+}
 
-// learn moves the threshold of s by one outcome. Steps shrink with a threshold under one, so that it
-// settles where thresholdGrow/(thresholdGrow+slowCut) of the answers are slow, at any size.
-func (b *Balancer) learn(s *server, c *class, code Code, latency time.Duration) {
-	step, fault := 0.0, code.fault()
-	track(&s.faults, faultGain, fault)
-	b.rank(s)
+// updateThreshold moves the threshold of s by one outcome, and the statistics that depend on it. Steps shrink with a
+// threshold below one, so that at any size it settles where thresholdIncrease/(thresholdIncrease+slowDecrease) of the
+// answers are slow.
+func (b *Balancer) updateThreshold(s *server, c *class, code Code, latency time.Duration) {
+	step, fault := 0.0, code.isFault()
+	updateAverage(&s.faultRate, faultGain, fault)
+	b.rankFaults(s)
 	switch {
 	case fault:
-		b.compare()
-		step = -failureCut * b.blame
+		b.updateFaultWeight()
+		step = -failureDecrease * b.faultWeight
 	case code != OK:
-		step = -failureCut
-	case latency > seconds(slowPart*c.Aim.Seconds()):
-		step = -slowCut
-	case float64(s.inflight+1) >= b.limit(s): // answered well, and the threshold was felt
-		step = thresholdGrow
+		step = -failureDecrease
+	case latency > seconds(slowFraction*c.Aim.Seconds()):
+		step = -slowDecrease
+	case float64(s.inflight+1) >= b.limit(s): // a good answer while the threshold limited sends
+		step = thresholdIncrease
 	}
-	bad := step <= -slowCut                                      // not what all servers have alike
+	bad := step <= -slowDecrease                                 // not if all servers have the same faults
 	if bad && (code != Full || s.health.score < silenceWeight) { // a hung server fills up too
-		track(&b.fullPart, fullGain, code == Full)
+		updateAverage(&b.fullFraction, fullGain, code == Full)
 	}
-	track(&b.bad, badGain, bad && (code != OK || latency > c.Aim))
+	updateAverage(&b.badFraction, badGain, bad && (code != OK || latency > c.Aim))
 	if code != Full {
-		track(&b.lost, badGain, code == TimedOut)
+		updateAverage(&b.timeoutFraction, badGain, code == TimedOut)
 	}
-	if b.scaled() && step > 0 {
-		b.trust = min(trustMost, b.trust*(1+trustGrow))
-	} else if b.scaled() && bad && code != Full {
-		b.trust = max(1, b.trust*(1-trustCut))
+	if b.serversShared() && step > 0 {
+		b.sharedThresholdScale = min(maxSharedScale, b.sharedThresholdScale*(1+sharedScaleIncrease))
+	} else if b.serversShared() && bad && code != Full {
+		b.sharedThresholdScale = max(1, b.sharedThresholdScale*(1-sharedScaleDecrease))
 	}
-	if code == TimedOut || code == OK && latency > c.Aim { // servers have more than they can do in time
-		b.ease = max(easeLeast, b.ease*(1-trustCut))
+	if code == TimedOut || code == OK && latency > c.Aim { // servers have more work than they can finish in time
+		b.fairShareScale = max(minFairShareScale, b.fairShareScale*(1-sharedScaleDecrease))
 	} else if code == OK {
-		b.ease = min(1, b.ease*(1+trustGrow))
+		b.fairShareScale = min(1, b.fairShareScale*(1+sharedScaleIncrease))
 	}
-	s.felt = s.felt || bad
-	least := leastPart * min(b.start(s), startFew/float64(b.set.Nodes))
-	s.threshold = max(least, s.threshold+step*min(1, s.threshold))
+	s.thresholdCut = s.thresholdCut || bad
+	minThreshold := minThresholdFraction * min(b.initialThreshold(s), initialTotal/float64(b.settings.Nodes))
+	s.threshold = max(minThreshold, s.threshold+step*min(1, s.threshold))
 }
 
-// compare sets faults against the median server's: what all have alike, none of them is to blame for.
-// Unweighed it would close one threshold after the other, and eject at random.
-func (b *Balancer) compare() {
-	if s := b.median(); s != nil {
-		b.blame = max(blameLeast, 1-s.faults/faultCommon)
+// updateFaultWeight weighs faults by the fault rate of the median server: those that all servers have in common are no
+// sign of a bad server. At full weight they would close one threshold after the other, and eject servers at random.
+func (b *Balancer) updateFaultWeight() {
+	if s := b.medianByFaults(); s != nil {
+		b.faultWeight = max(minFaultWeight, 1-s.faultRate/commonFaultRate)
 	}
 }
--- a/policy/rules_test.go
+++ b/policy/rules_test.go
@@ -27,7 +27,7 @@
 		Tenants: []Tenant{{Name: "t", Quota: 1000}, {Name: "u", Quota: 10}},
 		Allowed: Allowed{Cancel: true, Hedge: true, MaxAttempts: 4},
 		Rules: Rules{DrainGrace: time.Second, ColdShare: 0.2, ColdFor: 10 * time.Second,
-			FallMultiple: 3, FallFor: 2 * time.Second},
+			OverloadMultiple: 3, OverloadFor: 2 * time.Second},
 	}
 }
 
@@ -98,10 +98,10 @@
 		{"drain grace", func(s *Settings) { s.Rules.DrainGrace = -1 }},
 		{"cold share", func(s *Settings) { s.Rules.ColdShare = 1.1 }},
 		{"cold share", func(s *Settings) { s.Rules.ColdShare = nan }},
-		{"fall multiple", func(s *Settings) { s.Rules.FallMultiple = -1 }},
-		{"attempt budget: span", func(s *Settings) { s.Rules.Attempts = &Budget{Share: 0.1} }},
-		{"attempt budget: share", func(s *Settings) { s.Rules.Attempts = &Budget{Share: nan, Span: 1} }},
-		{"attempt budget: least", func(s *Settings) { s.Rules.Attempts = &Budget{Least: -1, Span: 1} }},
+		{"fall multiple", func(s *Settings) { s.Rules.OverloadMultiple = -1 }},
+		{"attempt budget: span", func(s *Settings) { s.Rules.AttemptBudget = &AttemptBudget{ExtraShare: 0.1} }},
+		{"attempt budget: share", func(s *Settings) { s.Rules.AttemptBudget = &AttemptBudget{ExtraShare: nan, Span: 1} }},
+		{"attempt budget: least", func(s *Settings) { s.Rules.AttemptBudget = &AttemptBudget{MinExtra: -1, Span: 1} }},
 		{"max attempts", func(s *Settings) { s.Allowed.MaxAttempts = -1 }},
 		{"max retry-after", func(s *Settings) { s.Allowed.MaxRetryAfter = -1 }},
 		{"idle", func(s *Settings) { s.Allowed.ConnIdle = -1 }},
@@ -136,14 +136,14 @@
 		b.servers[id].health.score = 0.6
 		b.recordFailure(b.servers[id], failWeight, ServerError)
 	}
-	if b.ranked[0].open.ejected != 1 {
-		t.Errorf("%d of the class's 3 servers are ejected, want 1", b.ranked[0].open.ejected)
+	if b.classList[0].eligible.ejectedCount != 1 {
+		t.Errorf("%d of the class's 3 servers are ejected, want 1", b.classList[0].eligible.ejectedCount)
 	}
 	for id := range open {
 		b.Handle(4*ms, MemberList{Kind: ListUpdate, Members: []Member{{Server: id, Zone: "a", Kind: "k1", Availability: Draining}}})
 	}
 	acts := slices.Clone(b.Handle(5*ms, ask("x", "free")))
-	for now := 6 * ms; now < 600*ms; now += queuePoll {
+	for now := 6 * ms; now < 600*ms; now += queuePollInterval {
 		acts = append(acts, b.Handle(now, Timer{Token: queueToken})...)
 	}
 	if len(of(acts, Send)) != 0 || len(of(acts, Refuse)) != 1 {
@@ -154,7 +154,7 @@
 // The budget counts every request taken, those refused too, and each further attempt itself.
 func TestBudgetOfAttemptsIsExact(t *testing.T) {
 	set := site(1)
-	set.Rules.Attempts = &Budget{Least: 2, Share: 0.5, Span: time.Second}
+	set.Rules.AttemptBudget = &AttemptBudget{MinExtra: 2, ExtraShare: 0.5, Span: time.Second}
 	b := start(t, set, members(9))
 	extras := func(now Time, from, n int) (sent int) {
 		for i := range n {
@@ -168,23 +168,23 @@
 	if got := extras(ms, 0, 4); got > 4 { // two, and half of four
 		t.Errorf("%d further attempts for 4 requests, at most 4 allowed", got)
 	}
-	b.extra, b.took = nil, []Time{0, 1, 2, 3}
+	b.recentExtra, b.recentRequests = nil, []Time{0, 1, 2, 3}
 	b.now = 500 * ms
 	for n := range 10 {
-		if may := b.mayRepeat(); may != (n < 3) { // on the safe side of the exact 4
+		if may := b.withinRetryBudget(); may != (n < 3) { // on the safe side of the exact 4
 			t.Fatalf("after %d further attempts: may repeat %v", n, may)
 		}
-		if !b.mayRepeat() {
+		if !b.withinRetryBudget() {
 			break
 		}
-		b.extra = append(b.extra, b.now)
+		b.recentExtra = append(b.recentExtra, b.now)
 	}
 	b.now = time.Second + 4 // the requests have left the window, the attempts have not
-	if b.mayRepeat() {
+	if b.withinRetryBudget() {
 		t.Error("more than the least is allowed for requests that have left the window")
 	}
 	b.now = 2 * time.Second
-	if !b.mayRepeat() || len(b.extra)+len(b.took) != 0 {
+	if !b.withinRetryBudget() || len(b.recentExtra)+len(b.recentRequests) != 0 {
 		t.Error("the window was not emptied")
 	}
 }
@@ -205,7 +205,7 @@
 
 func TestFullBucketRefusesWithRetryAfter(t *testing.T) {
 	b := start(t, site(1), members(4))
-	b.set.Allowed.RetryAfter = true
+	b.settings.Allowed.RetryAfter = true
 	for i := 0; ; i++ {
 		r := ask(fmt.Sprint(i), "free")
 		r.Tenant = "u"
@@ -291,15 +291,15 @@
 	b := start(t, site(1), members(6))
 	s := b.servers["s00"]
 	b.eject(s, false)
-	now := s.health.until
+	now := s.health.ejectedUntil
 	if got := sentTo(t, b.Handle(now, ask("x", "free"))); got != "s00" {
 		t.Fatalf("trial went to %s", got)
 	}
 	b.Handle(now+100*ms, outcome("x", 0, "s00", Cancelled, 100*ms))
-	if s.health.trialOut {
+	if s.health.trialPending {
 		t.Error("the trial still counts as out")
 	}
-	now = s.health.until
+	now = s.health.ejectedUntil
 	if got := sentTo(t, b.Handle(now, ask("y", "free"))); got != "s00" {
 		t.Errorf("next trial went to %s, want s00", got)
 	}
@@ -310,7 +310,7 @@
 	b := start(t, site(1), members(6))
 	s := b.servers["s00"]
 	b.eject(s, false)
-	now := s.health.until
+	now := s.health.ejectedUntil
 	b.Handle(now, ask("x", "free"))
 	b.Handle(now+ms, outcome("x", 0, "s00", Full, ms))
 	if got := sentTo(t, b.Handle(now+2*ms, ask("y", "free"))); got == "s00" {
@@ -323,7 +323,7 @@
 	b := start(t, site(1), members(6))
 	s := b.servers["s00"]
 	b.Handle(ms, ask("x", "once"))
-	s.lastDone = 100 * ms
+	s.lastAnswer = 100 * ms
 	b.Handle(600*ms, outcome("x", 0, "s00", TimedOut, 600*ms))
 	if s.health.score != 0 {
 		t.Errorf("score %v, want 0", s.health.score)
@@ -333,18 +333,18 @@
 func TestRatesFollowRoom(t *testing.T) {
 	b := start(t, site(1), members(2))
 	for range 100 {
-		b.follow(false)
+		b.adjustPace(false)
 	}
-	if b.pace >= 0.5 || b.pace < paceLeast {
+	if b.pace >= 0.5 || b.pace < minPace {
 		t.Errorf("after 100 choices without room the scale is %v", b.pace)
 	}
 	was := b.pace
-	b.follow(true)
+	b.adjustPace(true)
 	if b.pace != was {
 		t.Error("the scale rose though no bucket refused")
 	}
-	b.refused = true
-	b.follow(true)
+	b.bucketRefused = true
+	b.adjustPace(true)
 	if b.pace <= was {
 		t.Error("the scale did not rise though a bucket refused and there was room")
 	}
@@ -354,11 +354,11 @@
 func TestHeldRequestMovesTheRatesOnce(t *testing.T) {
 	b := start(t, site(1), members(1))
 	s := b.order()[0]
-	s.threshold, s.felt, s.inflight = 1, true, 3
-	b.refresh(s)
+	s.threshold, s.thresholdCut, s.inflight = 1, true, 3
+	b.updateStatus(s)
 	b.Handle(ms, ask("x", "free"))
 	was := b.pace
-	for now := 2 * ms; now < 80*ms; now += queuePoll {
+	for now := 2 * ms; now < 80*ms; now += queuePollInterval {
 		b.Handle(now, Timer{Token: queueToken})
 	}
 	if b.queue.len() != 1 || was >= 1 || b.pace != was {
@@ -375,7 +375,7 @@
 		set.Node, set.WarmKeys = n, true
 		b := start(t, set, members(24))
 		firsts[b.order()[0].Server] = true
-		homes[b.hashCandidates(&request{class: b.ranked[0], key: hash("acct/1")})[0].Server] = true
+		homes[b.hashCandidates(&request{class: b.classList[0], keyHash: hash("acct/1")})[0].Server] = true
 	}
 	if len(firsts) < 5 {
 		t.Errorf("6 nodes begin at only %d servers", len(firsts))
@@ -468,9 +468,9 @@
 func TestManyNodesKeepToLessWhenServersAreBusy(t *testing.T) {
 	for util, want := range map[float64]int{0.3: 9, 0.83: 7, 1: 5} { // 4.5 each is what all servers take at once
 		b, sends := fleet(t, members(60)), 0
-		b.set.Report = []string{"latency_ms", "util"}
+		b.settings.Report = []string{"latency_ms", "util"}
 		for range 200 {
-			b.report(b.order()[0], []float64{100, util})
+			b.recordLoadReport(b.order()[0], []float64{100, util})
 		}
 		for i := range 60 {
 			sends += len(of(b.Handle(ms, ask(fmt.Sprint(i), "free")), Send))
@@ -484,10 +484,10 @@
 // Of many nodes, one is full by chance time and again: its bucket rates stay at the shares, and the bound on
 // what it has out sheds the rest. With few nodes they fall, for nothing else sheds.
 func TestRatesOfManyNodesStayAtTheShares(t *testing.T) {
-	for nodes, want := range map[int]float64{2: paceLeast, 80: 1} {
+	for nodes, want := range map[int]float64{2: minPace, 80: 1} {
 		b := start(t, site(nodes), members(12))
 		for range 500 {
-			b.follow(false)
+			b.adjustPace(false)
 		}
 		if b.pace != want {
 			t.Errorf("%d nodes without room: pace %v, want %v", nodes, b.pace, want)
@@ -535,7 +535,7 @@
 func TestColdServersGetTheirPartFromAllNodes(t *testing.T) {
 	list := members(60)
 	b := fleet(t, list)
-	b.set.Report = []string{"util", "qps"}
+	b.settings.Report = []string{"util", "qps"}
 	last := b.order()[59].Member
 	last.OnlineSince = time.Second
 	b.Handle(time.Second, MemberList{Kind: ListUpdate, Members: []Member{last}})
@@ -544,9 +544,9 @@
 	for warm.Kind != cold.Kind {
 		warm = b.order()[slices.Index(b.order(), warm)+1]
 	}
-	b.report(warm, []float64{0.9, 400})
-	b.report(cold, []float64{0.1, 1}) // hardly used yet: tells nothing of what it can take
-	cold.cold = coldBudget{last: b.now}
+	b.recordLoadReport(warm, []float64{0.9, 400})
+	b.recordLoadReport(cold, []float64{0.1, 1}) // hardly used yet: tells nothing of what it can take
+	cold.cold = coldBudget{lastRefill: b.now}
 	b.Handle(time.Second+500*ms, ask("early", "free")) // half a second at 1.4 * 0.24 * 400 / 80
 	if cold.inflight != 0 {
 		t.Error("the cold server got something before this node's part was due")
@@ -565,21 +565,21 @@
 	list[0].OnlineSince = time.Second
 	b := fleet(t, list)
 	b.now = 2 * time.Second
-	b.set.Report = []string{"util", "qps"}
+	b.settings.Report = []string{"util", "qps"}
 	s := b.order()[0]
-	b.rates[s.Kind] = 400
+	b.warmRates[s.Kind] = 400
 	tokens := func() float64 {
-		s.cold = coldBudget{last: b.now - 500*ms}
-		b.coldRoom(s)
+		s.cold = coldBudget{lastRefill: b.now - 500*ms}
+		b.coldBudgetAllows(s)
 		return s.cold.tokens
 	}
 	free := tokens()
-	b.report(s, []float64{0.2, 1}) // hardly used, which tells nothing of what it could take
+	b.recordLoadReport(s, []float64{0.2, 1}) // hardly used, which tells nothing of what it could take
 	if got := tokens(); got != free {
 		t.Errorf("after a report of an idle server: %v of a request, want %v", got, free)
 	}
-	b.report(s, []float64{0.8, 32})
-	if got, want := tokens(), coldUse*40/80*0.5; math.Abs(got-want) > 1e-9 || got >= free {
+	b.recordLoadReport(s, []float64{0.8, 32})
+	if got, want := tokens(), maxColdUse*40/80*0.5; math.Abs(got-want) > 1e-9 || got >= free {
 		t.Errorf("after 32 a second by 0.8 of its cores: %v of a request in half a second, want %v", got, want)
 	}
 }
@@ -592,7 +592,7 @@
 	others := b.order()
 	learn := func(code Code, n int) {
 		for range n {
-			b.learn(others[0], b.ranked[0], code, ms)
+			b.updateThreshold(others[0], b.classList[0], code, ms)
 		}
 	}
 	was := b.limit(others[1])
@@ -617,39 +617,39 @@
 	b := start(t, site(1), members(2))
 	s := b.order()[0]
 	for range 40 {
-		b.learn(s, b.ranked[0], Full, ms)
-		b.judge(&attempt{server: s}, OK)
+		b.updateThreshold(s, b.classList[0], Full, ms)
+		b.updateBreaker(&attempt{server: s}, OK)
 	}
-	if !b.shedEarly() {
+	if !b.serversShedEarly() {
 		t.Fatal("40 full answers and none late: not seen to shed early")
 	}
 	for _, s := range b.order() {
 		s.inflight = 20
-		b.refresh(s)
+		b.updateStatus(s)
 	}
 	sentTo(t, b.Handle(ms, ask("x", "free")))
-	b.follow(false)
+	b.adjustPace(false)
 	if b.pace != 1 {
 		t.Errorf("rates at %v of the shares", b.pace)
 	}
 	for range 10 {
-		b.judge(&attempt{server: s}, Full)
+		b.updateBreaker(&attempt{server: s}, Full)
 	}
-	if s.health.out {
+	if s.health.ejected {
 		t.Error("ejected for full answers")
 	}
 	for range 120 {
-		b.learn(s, b.ranked[0], TimedOut, ms)
+		b.updateThreshold(s, b.classList[0], TimedOut, ms)
 	}
 	s.health.score = 0.4
 	for range 40 {
-		b.learn(s, b.ranked[0], Full, ms) // of a hung server: they don't count
+		b.updateThreshold(s, b.classList[0], Full, ms) // of a hung server: they don't count
 	}
-	if b.shedEarly() {
+	if b.serversShedEarly() {
 		t.Error("still held to shed early after many time-outs")
 	}
 	for _, s := range b.order() {
-		b.refresh(s)
+		b.updateStatus(s)
 	}
 	if acts := b.Handle(2*ms, ask("y", "free")); len(of(acts, Send)) != 0 {
 		t.Error("sent past the crowd limit")
@@ -661,20 +661,20 @@
 	b := start(t, site(1), members(2))
 	grow := func() {
 		for range 200 {
-			b.refused = true
-			b.follow(true)
+			b.bucketRefused = true
+			b.adjustPace(true)
 		}
 	}
 	grow()
-	if b.pace != paceMost {
-		t.Errorf("with good answers the scale is %v, want %v", b.pace, paceMost)
+	if b.pace != maxPace {
+		t.Errorf("with good answers the scale is %v, want %v", b.pace, maxPace)
 	}
 	for range 20 {
-		b.learn(b.order()[0], b.ranked[0], TimedOut, ms)
+		b.updateThreshold(b.order()[0], b.classList[0], TimedOut, ms)
 	}
 	grow()
-	if b.pace > paceShare*(1+paceGrow) {
-		t.Errorf("with bad answers the scale is %v, want about %v", b.pace, paceShare)
+	if b.pace > cautiousPace*(1+paceIncrease) {
+		t.Errorf("with bad answers the scale is %v, want about %v", b.pace, cautiousPace)
 	}
 }
 
@@ -683,22 +683,22 @@
 func TestRatesFarOverTheSharesBearSlowAnswersInTime(t *testing.T) {
 	for _, late := range []bool{false, true} {
 		b := start(t, site(1), members(2))
-		took := b.ranked[0].Aim - ms
+		took := b.classList[0].Aim - ms
 		if late {
-			took = b.ranked[0].Aim + ms
+			took = b.classList[0].Aim + ms
 		}
 		before := b.order()[0].threshold
 		for range 20 {
-			b.learn(b.order()[0], b.ranked[0], OK, took)
+			b.updateThreshold(b.order()[0], b.classList[0], OK, took)
 		}
 		if b.order()[0].threshold >= before {
 			t.Errorf("late %v: the threshold is %v, was %v", late, b.order()[0].threshold, before)
 		}
 		for range 200 {
-			b.refused = true
-			b.follow(true)
+			b.bucketRefused = true
+			b.adjustPace(true)
 		}
-		if grown := b.pace > paceShare*(1+paceGrow); grown == late {
+		if grown := b.pace > cautiousPace*(1+paceIncrease); grown == late {
 			t.Errorf("late %v: the scale is %v", late, b.pace)
 		}
 	}
@@ -731,7 +731,7 @@
 		}
 		try(50*ms, OK)
 	}
-	if s.health.score != 0 || s.health.out {
+	if s.health.score != 0 || s.health.ejected {
 		t.Errorf("the server has a score of %v", s.health.score)
 	}
 	if try(900*ms, OK) != 1 {
@@ -751,7 +751,7 @@
 	for range 2 { // on a fresh connection now
 		try(50*ms, TimedOut)
 	}
-	if !s.health.out && s.health.score == 0 {
+	if !s.health.ejected && s.health.score == 0 {
 		t.Error("a server silent on fresh connections isn't blamed")
 	}
 }
@@ -763,8 +763,8 @@
 		set := site(6)
 		set.Node, set.WarmKeys = n, true
 		b := start(t, set, members(24))
-		homes := b.hashCandidates(&request{class: b.ranked[0], key: hash("acct/1")})
-		homes[0].health.out = true
+		homes := b.hashCandidates(&request{class: b.classList[0], keyHash: hash("acct/1")})
+		homes[0].health.ejected = true
 		r := ask("x", "free")
 		r.Key = "acct/1"
 		seen[sentTo(t, b.Handle(time.Second, r))] = true
@@ -783,13 +783,13 @@
 	s := b.order()[0]
 	for range 30 {
 		for range 9 {
-			b.learn(s, b.ranked[0], Full, ms)
+			b.updateThreshold(s, b.classList[0], Full, ms)
 		}
-		b.learn(s, b.ranked[0], TimedOut, ms)
-		b.learn(s, b.ranked[0], OK, ms)
+		b.updateThreshold(s, b.classList[0], TimedOut, ms)
+		b.updateThreshold(s, b.classList[0], OK, ms)
 		s.health.score = 0
 	}
-	if b.shedEarly() {
+	if b.serversShedEarly() {
 		t.Error("held to shed early though half of the other answers time out")
 	}
 }
@@ -801,7 +801,7 @@
 		b := start(t, site(1), members(4))
 		s := b.servers[sentTo(t, b.Handle(ms, ask("x", "free")))]
 		if !silent {
-			s.lastDone = 50 * ms
+			s.lastAnswer = 50 * ms
 		}
 		acts := b.Handle(240*ms, Timer{Token: watchToken})
 		if got := len(of(acts, Send)) == 1; got != silent {
@@ -814,13 +814,13 @@
 func TestColdRateLeavesOneMultipleToChance(t *testing.T) {
 	for multiple, want := range map[float64]float64{1: 0.35, 2: 0.7, 3: 1.4} {
 		set := site(1)
-		set.Rules.FallMultiple, set.Rules.ColdShare, set.Rules.ColdFor = multiple, 0.5, time.Hour
+		set.Rules.OverloadMultiple, set.Rules.ColdShare, set.Rules.ColdFor = multiple, 0.5, time.Hour
 		b := start(t, set, members(1))
-		b.done, b.doneAt, b.now = 100, time.Second, time.Second // a hundred answers a second at one server
+		b.decayedAnswerRate, b.answerRateAt, b.now = 100, time.Second, time.Second // a hundred answers a second at one server
 		s := b.order()[0]
 		s.OnlineSince = b.now
-		s.cold = coldBudget{last: b.now - 10*ms}
-		b.coldRoom(s)
+		s.cold = coldBudget{lastRefill: b.now - 10*ms}
+		b.coldBudgetAllows(s)
 		if got, rate := s.cold.tokens, want*0.5*100*0.01; math.Abs(got-rate) > 0.01 {
 			t.Errorf("multiple %v: %v requests in 10 ms, want %v", multiple, got, rate)
 		}
@@ -830,10 +830,10 @@
 // What all nodes together first trust a server with stays the same where nodes are few: four of each of
 // three nodes jam the first server in the order.
 func TestStartIsSharedByFewNodes(t *testing.T) {
-	for nodes := 1; nodes <= manyNodes; nodes++ {
+	for nodes := 1; nodes <= maxUnstaggeredNodes; nodes++ {
 		b := start(t, site(nodes), members(4))
-		if all := b.order()[0].threshold * float64(nodes); math.Abs(all-startFew) > 1e-9 {
-			t.Errorf("%d nodes: %v attempts in all, want %v", nodes, all, startFew)
+		if all := b.order()[0].threshold * float64(nodes); math.Abs(all-initialTotal) > 1e-9 {
+			t.Errorf("%d nodes: %v attempts in all, want %v", nodes, all, initialTotal)
 		}
 	}
 }
@@ -842,12 +842,12 @@
 // soon enough for what discovery has by then, however many failed before it, and not by all nodes at once.
 func TestListCallsAreApart(t *testing.T) {
 	const nodes = 80
-	for within, latest := range map[time.Duration]time.Duration{0: newsLatest, time.Second: time.Second,
-		10 * time.Second: newsLatest} {
+	for within, latest := range map[time.Duration]time.Duration{0: maxUpdateDelay, time.Second: time.Second,
+		10 * time.Second: maxUpdateDelay} {
 		firsts, agains := make([]int, 10), map[time.Duration]bool{} // first calls of each tenth of their time
 		for n := range nodes {
 			set := site(nodes)
-			set.Node, set.Subscribe, set.Rules.AskWithin = n, true, within
+			set.Node, set.Subscribe, set.Rules.ListRefreshWithin = n, true, within
 			b, err := New(set, 0, 7)
 			if err != nil {
 				t.Fatal(err)
@@ -862,7 +862,7 @@
 				}
 				return timers[0].Wait
 			}
-			spread := min(latest*2/3, nodes*askApart)
+			spread := min(latest*2/3, nodes*firstCallSpacing)
 			firsts[int(10*wait(ListRestored, 0, spread)/(spread+1))]++
 			for range 5 {
 				agains[wait(ListUnavailable, latest/8, latest*3/8)] = true
@@ -899,14 +899,14 @@
 			list = slices.DeleteFunc(list, func(m Member) bool { return m.Availability == Draining })
 		}
 		b.Handle(2*ms, MemberList{Kind: kind, Members: list})
-		bad, blame := b.bad, b.blame
+		bad, blame := b.badFraction, b.faultWeight
 		for i, id := range []string{"a", "b", "c"} {
 			if to := sentTo(t, b.Handle(Time(3+i)*ms, outcome(id, 0, at[id], ConnectFailed, ms))); to == at["a"] {
 				t.Errorf("kind %v: %s goes to the leaving server again", kind, id)
 			}
 		}
-		if b.bad != bad || b.blame != blame {
-			t.Errorf("kind %v: bad answers %v, were %v; blame %v, was %v", kind, b.bad, bad, b.blame, blame)
+		if b.badFraction != bad || b.faultWeight != blame {
+			t.Errorf("kind %v: bad answers %v, were %v; blame %v, was %v", kind, b.badFraction, bad, b.faultWeight, blame)
 		}
 	}
 }
@@ -932,7 +932,7 @@
 			acts = append(acts, b.Handle(3*ms, outcome(fmt.Sprint("r", i), 0, server, OK, ms))...)
 		}
 	}
-	acts = append(acts, b.Handle(3*ms+queuePoll, Timer{Token: queueToken})...)
+	acts = append(acts, b.Handle(3*ms+queuePollInterval, Timer{Token: queueToken})...)
 	for _, a := range of(acts, Send) {
 		t.Errorf("%s went to %s", a.ID, a.Server)
 	}
@@ -953,9 +953,9 @@
 		b := start(t, site(1), members(2))
 		b.order()[0].health.score = score
 		for range 40 {
-			b.learn(b.order()[0], b.ranked[0], Full, ms)
+			b.updateThreshold(b.order()[0], b.classList[0], Full, ms)
 		}
-		if b.shedEarly() != want {
+		if b.serversShedEarly() != want {
 			t.Errorf("with a score of %v: sheds early %v, want %v", score, !want, want)
 		}
 	}
@@ -966,28 +966,28 @@
 func TestOffersAreCheapWhereServersShedEarly(t *testing.T) {
 	for _, c := range []struct {
 		early, ran bool
-		budget     *Budget
+		budget     *AttemptBudget
 		want       int
 	}{
 		{early: true, want: 3}, // 20 times 0.15
 		{early: false, want: 20},
 		{early: true, ran: true, want: 20},
-		{early: true, budget: &Budget{Least: 50, Span: time.Second}, want: 20},
+		{early: true, budget: &AttemptBudget{MinExtra: 50, Span: time.Second}, want: 20},
 	} {
 		set := site(1)
-		set.Rules.Attempts = c.budget
+		set.Rules.AttemptBudget = c.budget
 		b := start(t, set, members(2))
 		if c.early {
-			b.fullPart = 1
+			b.fullFraction = 1
 		}
 		r := &request{}
 		if c.ran {
-			r.ranOn = &attempt{}
+			r.firstRun = &attempt{}
 		}
 		for range 20 {
 			b.chargeRetry(r)
 		}
-		if got := len(b.extra); got < c.want-1 || got > c.want {
+		if got := len(b.recentExtra); got < c.want-1 || got > c.want {
 			t.Errorf("%+v: %d attempts booked", c, got)
 		}
 	}
@@ -998,8 +998,8 @@
 func TestFaultsThatAllHaveTellLittle(t *testing.T) {
 	try := func(b *Balancer, now Time, s *server, code Code) {
 		id := fmt.Sprint(now)
-		b.reqs[id] = &request{id: id, class: b.classes["once"], deadline: now + time.Second}
-		b.send(b.reqs[id], s, false)
+		b.requests[id] = &request{id: id, class: b.classes["once"], deadline: now + time.Second}
+		b.send(b.requests[id], s, false)
 		b.Handle(now+20*ms, outcome(id, 0, s.Server, code, 20*ms))
 	}
 	b := start(t, site(1), members(6))
@@ -1012,7 +1012,7 @@
 			code = Reset
 		}
 		try(b, now, b.order()[i%6], code)
-		if n := b.fleet.ejected; n > 0 {
+		if n := b.fleet.ejectedCount; n > 0 {
 			t.Fatalf("%d ejected after %d outcomes", n, i)
 		}
 	}
@@ -1023,21 +1023,21 @@
 	}
 	b.eject(b.order()[0], false) // for once
 	now += 5 * time.Second
-	b.reqs["trial"] = &request{id: "trial", class: b.classes["free"], deadline: now + time.Second}
-	b.send(b.reqs["trial"], b.order()[0], true)
+	b.requests["trial"] = &request{id: "trial", class: b.classes["free"], deadline: now + time.Second}
+	b.send(b.requests["trial"], b.order()[0], true)
 	b.Handle(now, outcome("trial", 0, "s00", ConnectFailed, 0))
-	if h := b.order()[0].health; !h.out || h.until != now+ejectFirst {
-		t.Errorf("a trial that failed by what all have alike puts the next off by %v", h.until-now)
+	if h := b.order()[0].health; !h.ejected || h.ejectedUntil != now+baseEjectionTime {
+		t.Errorf("a trial that failed by what all have alike puts the next off by %v", h.ejectedUntil-now)
 	}
-	if b.bad > paceBad {
-		t.Errorf("%v of the answers count as bad", b.bad)
+	if b.badFraction > maxBadFraction {
+		t.Errorf("%v of the answers count as bad", b.badFraction)
 	}
 	bad := b.servers["s03"]
 	for range 10 {
 		now += 25 * ms
 		try(b, now, bad, ServerError)
 	}
-	if !bad.health.out {
+	if !bad.health.ejected {
 		t.Errorf("a server that always fails is not ejected; score %v", bad.health.score)
 	}
 
@@ -1052,7 +1052,7 @@
 		now += 25 * ms
 		try(b, now, b.order()[1], Reset)
 	}
-	if !b.order()[1].health.out {
+	if !b.order()[1].health.ejected {
 		t.Error("two faults in a row, and none at others: not ejected")
 	}
 }
@@ -1062,10 +1062,10 @@
 	b := start(t, site(1), members(2))
 	for i := range 5000 {
 		b.Handle(Time(i)*10*ms, ask(fmt.Sprint(i), "free"))
-		b.Handle(Time(i)*10*ms, Lapsed{ID: fmt.Sprint(i)})
+		b.Handle(Time(i)*10*ms, ClientGone{ID: fmt.Sprint(i)})
 	}
-	if n := len(b.took); n > 1100 {
-		t.Errorf("%d times kept for a span of %v", n, b.budget.Span)
+	if n := len(b.recentRequests); n > 1100 {
+		t.Errorf("%d times kept for a span of %v", n, b.attemptBudget.Span)
 	}
 }
 
@@ -1075,7 +1075,7 @@
 	e := ask("x", "free")
 	e.ExpiresIn = 100 * ms // less than the class's aim
 	acts := b.Handle(ms, e)
-	for now := ms; now <= 51*ms; now += queuePoll {
+	for now := ms; now <= 51*ms; now += queuePollInterval {
 		acts = append(acts, b.Handle(now, Timer{Token: queueToken})...)
 	}
 	if len(of(acts, Refuse)) != 1 {
@@ -1110,16 +1110,16 @@
 			id string
 			at Time
 		}{{"early", 0}, {"slow", 10 * ms}, {"late", 250 * ms}} {
-			b.reqs[e.id] = &request{id: e.id, class: b.classes["once"], deadline: time.Second, worthTo: time.Second}
+			b.requests[e.id] = &request{id: e.id, class: b.classes["once"], deadline: time.Second, usefulUntil: time.Second}
 			b.now = e.at
-			b.send(b.reqs[e.id], s, false)
+			b.send(b.requests[e.id], s, false)
 		}
 		b.Handle(255*ms, outcome("slow", 0, s.Server, TimedOut, 245*ms))
 		if s.inflight != 2 {
 			t.Fatalf("%s: %d attempts out, want 2", c.name, s.inflight)
 		}
 		c.then(b, s)
-		if got := b.holds(s); got != c.want {
+		if got := b.outstanding(s); got != c.want {
 			t.Errorf("%s: the server holds %d, want %d", c.name, got, c.want)
 		}
 		s.threshold = float64(c.want)
@@ -1134,7 +1134,7 @@
 func TestStalledServersGetNothingNew(t *testing.T) {
 	b := start(t, site(1), members(2))
 	s := b.order()[0]
-	s.latency, s.threshold = 0.1, 8
+	s.meanLatency, s.threshold = 0.1, 8
 	var ids []string
 	send := func(now Time) string {
 		id := fmt.Sprint("r", len(ids))
@@ -1153,11 +1153,11 @@
 		t.Errorf("after ten mean gaps of silence: sent to %s all the same", got)
 	}
 	b.Handle(time.Second+210*ms, outcome(ids[0], 0, s.Server, OK, 210*ms))
-	s.latency = 0.1
+	s.meanLatency = 0.1
 	if got := send(time.Second + 220*ms); got != s.Server {
 		t.Errorf("after an answer: sent to %s, want %s", got, s.Server)
 	}
-	for _, r := range slices.Collect(maps.Values(b.reqs)) {
+	for _, r := range slices.Collect(maps.Values(b.requests)) {
 		b.Handle(time.Second+230*ms, outcome(r.id, 0, r.attempts[0].server.Server, OK, 30*ms))
 	}
 	if got := send(time.Minute); got != s.Server {
@@ -1175,7 +1175,7 @@
 		s := b.order()[0]
 		was := s.threshold
 		s.inflight = int(was) // full, so that the threshold is felt
-		b.learn(s, b.classes["free"], OK, c.latency)
+		b.updateThreshold(s, b.classes["free"], OK, c.latency)
 		if grows := s.threshold > was; grows != c.grows {
 			t.Errorf("an answer after %v: threshold %v, was %v", c.latency, s.threshold, was)
 		}
@@ -1188,7 +1188,7 @@
 	b := start(t, site(2), members(1))
 	s := b.order()[0]
 	for range 200 {
-		b.learn(s, b.classes["free"], OK, 240*ms)
+		b.updateThreshold(s, b.classes["free"], OK, 240*ms)
 	}
 	for out, want := range map[int]bool{0: true, 1: true, 2: true, 3: false} {
 		s.inflight = out
@@ -1253,15 +1253,15 @@
 		s, now := b.order()[0], time.Minute
 		b.now = now
 		for _, other := range b.order() { // all answer, and no others fail
-			other.lastDone = now
-			b.rank(other)
+			other.lastAnswer = now
+			b.rankFaults(other)
 		}
-		for !s.health.out {
+		for !s.health.ejected {
 			b.recordFailure(s, failWeight, c.code)
 		}
 		try := func(code Code) {
 			id := fmt.Sprint(now)
-			b.trials = trialMost // others have come meanwhile
+			b.savedTrials = maxSavedTrials // others have come meanwhile
 			if got := sentTo(t, b.Handle(now, ask(id, "free"))); got != s.Server {
 				t.Fatalf("%v: the trial at %v went to %s", c.code, now, got)
 			}
@@ -1269,20 +1269,20 @@
 			b.Handle(now, outcome(id, 0, s.Server, code, 200*ms))
 		}
 		for i, off := range c.offs {
-			if got := s.health.until - now; got != off {
+			if got := s.health.ejectedUntil - now; got != off {
 				t.Errorf("%v: ejection %d lasts %v, want %v", c.code, i, got, off)
 			}
-			now = s.health.until
+			now = s.health.ejectedUntil
 			try(c.code)
 		}
-		now = s.health.until
+		now = s.health.ejectedUntil
 		for n := 1; n <= c.trials; n++ {
-			if !s.health.out {
+			if !s.health.ejected {
 				t.Errorf("%v: back after %d good trials, want %d", c.code, n-1, c.trials)
 			}
 			try(OK)
 		}
-		if s.health.out {
+		if s.health.ejected {
 			t.Errorf("%v: still out after %d good trials", c.code, c.trials)
 		}
 	}
@@ -1316,8 +1316,8 @@
 		most := func() int {
 			now += time.Minute // nobody works on what was given up
 			for _, s := range b.order() {
-				b.setOut(s, false)
-				s.health, s.threshold, s.lastSend = health{}, b.start(s), 0
+				b.setEjected(s, false)
+				s.health, s.threshold, s.lastSend = health{}, b.initialThreshold(s), 0
 			}
 			var out []Action
 			for range 20 {
@@ -1325,7 +1325,7 @@
 				out = append(out, of(b.Handle(now, ask(fmt.Sprint(n), "once")), Send)...)
 			}
 			for _, a := range out {
-				b.Handle(now, Lapsed{a.ID})
+				b.Handle(now, ClientGone{a.ID})
 				b.Handle(now, outcome(a.ID, 0, a.Server, Cancelled, ms))
 			}
 			now += time.Minute
@@ -1383,17 +1383,17 @@
 	}
 	for out := 0; out < silent; {
 		round(20, false)
-		if out = b.fleet.ejected; n > 10_000 {
+		if out = b.fleet.ejectedCount; n > 10_000 {
 			t.Fatalf("%d of %d silent servers are ejected", out, silent)
 		}
 	}
 	const requests = 1000
-	if bad := round(requests, false); float64(bad) > trialMost+trialShare*requests {
+	if bad := round(requests, false); float64(bad) > maxSavedTrials+trialShare*requests {
 		t.Errorf("%d of %d requests went to silent servers", bad, requests)
 	}
-	for back := 0; b.fleet.ejected > 0; back++ {
+	for back := 0; b.fleet.ejectedCount > 0; back++ {
 		if round(1, true); back > 8*silent {
-			t.Fatalf("%d servers are still out after %d requests", b.fleet.ejected, back)
+			t.Fatalf("%d servers are still out after %d requests", b.fleet.ejectedCount, back)
 		}
 	}
 }
@@ -1401,7 +1401,7 @@
 // A repeat of a keyed request says by when it has to have gone out; a first attempt has all its time.
 func TestRepeatsOfKeyedRequestsSayByWhen(t *testing.T) {
 	b := start(t, site(1), members(4))
-	for i, c := range b.ranked {
+	for i, c := range b.classList {
 		id, now := c.Name, time.Minute+time.Duration(i)*time.Second
 		first := of(b.Handle(now, Request{ID: id, Class: c.Name, Tenant: "t", ExpiresIn: time.Second}), Send)
 		if len(first) != 1 || first[0].By != 0 {
--- a/policy/scale_test.go
+++ b/policy/scale_test.go
@@ -29,7 +29,7 @@
 func (z size) settings() Settings {
 	set := Settings{Node: z.nodes / 3, Nodes: z.nodes, Zone: "z4", Report: []string{"util", "qps"},
 		Allowed: Allowed{Cancel: true, Hedge: true, MaxAttempts: 3},
-		Rules:   Rules{DrainGrace: time.Second, ColdShare: 0.2, ColdFor: 10 * time.Second, FallMultiple: 3, FallFor: 2 * time.Second}}
+		Rules:   Rules{DrainGrace: time.Second, ColdShare: 0.2, ColdFor: 10 * time.Second, OverloadMultiple: 3, OverloadFor: 2 * time.Second}}
 	for i := range z.services {
 		set.Classes = append(set.Classes, Class{Name: fmt.Sprint("c", i), Aim: 250 * ms, Deadline: 600 * ms,
 			Repeat: Free, Kinds: []string{fmt.Sprint("k", i)}})
@@ -96,7 +96,7 @@
 			f.b.Handle(f.now+5*ms, Outcome{ID: id, Server: a.Server, Code: code, Latency: 5 * ms, Ended: true})
 		}
 	}
-	f.b.Handle(f.now+5*ms, Lapsed{ID: id})
+	f.b.Handle(f.now+5*ms, ClientGone{ID: id})
 }
 
 // ejection has a server fail until it is ejected, and takes it back.
@@ -106,10 +106,10 @@
 	for range 5 {
 		f.b.recordFailure(s, failWeight, ServerError)
 	}
-	if !s.health.out {
+	if !s.health.ejected {
 		panic("not ejected")
 	}
-	f.b.setOut(s, false)
+	f.b.setEjected(s, false)
 	s.health = health{}
 }
 
--- a/policy/settings.go
+++ b/policy/settings.go
@@ -6,10 +6,10 @@
 	"math"
 )
 
-// Validate says which of the settings makes no sense, if one does. New refuses such settings as well.
+// Validate returns an error that names an invalid setting, if there is one. New rejects such settings too.
 func (set Settings) Validate() error {
 	if len(set.Classes) == 0 {
-		return errors.New("classes: there are none")
+		return errors.New("classes: at least one is required")
 	}
 	if set.Nodes < 1 || set.Node < 0 || set.Node >= set.Nodes {
 		return fmt.Errorf("node %d: outside the group of %d", set.Node, set.Nodes)
@@ -20,12 +20,12 @@
 			return fmt.Errorf("class %q: %w", c.Name, err)
 		}
 		if seen[c.Name] {
-			return fmt.Errorf("class %q: named twice", c.Name)
+			return fmt.Errorf("class %q: defined twice", c.Name)
 		}
 		seen[c.Name] = true
 	}
 	for _, t := range set.Tenants {
-		if err := firstError(notBelowZero("quota", t.Quota), notBelowZero("share", t.Share)); err != nil {
+		if err := firstError(checkNonNegative("quota", t.Quota), checkNonNegative("share", t.Share)); err != nil {
 			return fmt.Errorf("tenant %q: %w", t.Name, err)
 		}
 	}
@@ -33,9 +33,9 @@
 		return fmt.Errorf("rules: %w", err)
 	}
 	a := set.Allowed
-	err := firstError(notBelowZero("max attempts", float64(a.MaxAttempts)),
-		notBelowZero("max retry-after", a.MaxRetryAfter.Seconds()),
-		notBelowZero("connection idle time", a.ConnIdle.Seconds()))
+	err := firstError(checkNonNegative("max attempts", float64(a.MaxAttempts)),
+		checkNonNegative("max retry-after", a.MaxRetryAfter.Seconds()),
+		checkNonNegative("connection idle time", a.ConnIdle.Seconds()))
 	if err != nil {
 		return fmt.Errorf("allowed: %w", err)
 	}
@@ -44,38 +44,38 @@
 
 func validateClass(c Class) error {
 	if c.Deadline <= 0 {
-		return errors.New("deadline: missing or negative")
+		return errors.New("deadline: must be positive")
 	}
-	return firstError(notBelowZero("aim", c.Aim.Seconds()), notBelowZero("aim stretch", c.AimStretch),
-		notBelowZero("window", c.Window.Seconds()), notBelowZero("late worth", c.LateWorth),
-		notBelowZero("worth", c.Worth))
+	return firstError(checkNonNegative("aim", c.Aim.Seconds()), checkNonNegative("aim stretch", c.AimStretch),
+		checkNonNegative("window", c.Window.Seconds()), checkNonNegative("late worth", c.LateWorth),
+		checkNonNegative("worth", c.Worth))
 }
 
 func validateRules(r Rules) error {
-	err := firstError(notBelowZero("answer grace", r.AnswerGrace.Seconds()),
-		notBelowZero("drain grace", r.DrainGrace.Seconds()), notBelowZero("cold share", r.ColdShare),
-		notBelowZero("cold for", r.ColdFor.Seconds()), notBelowZero("fall multiple", r.FallMultiple),
-		notBelowZero("fall for", r.FallFor.Seconds()), notBelowZero("ask within", r.AskWithin.Seconds()))
+	err := firstError(checkNonNegative("answer grace", r.AnswerGrace.Seconds()),
+		checkNonNegative("drain grace", r.DrainGrace.Seconds()), checkNonNegative("cold share", r.ColdShare),
+		checkNonNegative("cold for", r.ColdFor.Seconds()), checkNonNegative("fall multiple", r.OverloadMultiple),
+		checkNonNegative("overload for", r.OverloadFor.Seconds()), checkNonNegative("must ask in", r.ListRefreshWithin.Seconds()))
 	if err != nil {
 		return err
 	}
 	if r.ColdShare > 1 {
-		return fmt.Errorf("cold share: want at most 1, got %v", r.ColdShare)
+		return fmt.Errorf("cold share: must be at most 1, got %v", r.ColdShare)
 	}
-	if r.Attempts == nil {
+	if r.AttemptBudget == nil {
 		return nil
 	}
-	if r.Attempts.Span <= 0 {
-		return errors.New("attempt budget: span: missing or negative")
+	if r.AttemptBudget.Span <= 0 {
+		return errors.New("attempt budget: span: must be positive")
 	}
-	return firstError(notBelowZero("attempt budget: least", r.Attempts.Least),
-		notBelowZero("attempt budget: share", r.Attempts.Share))
+	return firstError(checkNonNegative("attempt budget: least", r.AttemptBudget.MinExtra),
+		checkNonNegative("attempt budget: share", r.AttemptBudget.ExtraShare))
 }
 
-// notBelowZero names a field whose figure is negative, infinite or no number.
-func notBelowZero(field string, v float64) error {
+// checkNonNegative returns an error that names the field if v is negative, infinite or NaN.
+func checkNonNegative(field string, v float64) error {
 	if v < 0 || math.IsNaN(v) || math.IsInf(v, 0) {
-		return fmt.Errorf("%s: want a figure of 0 or more, got %v", field, v)
+		return fmt.Errorf("%s: must be a finite number of 0 or more, got %v", field, v)
 	}
 	return nil
 }
--- a/policy/slowstart.go
+++ b/policy/slowstart.go
@@ -6,107 +6,108 @@
 	"time"
 )
 
-// Slow start: each node's part of a cold server's budget.
+// Slow start: each node's share of a cold server's budget.
 
 const (
-	coldMargin = 0.7 // of the multiple beyond one: that one is left to chance, heavy work and unequal servers
-	coldFloor  = 1.0 // requests a second by all nodes to a cold server when nothing is known yet
-	coldTells  = 0.5 // part of its cores in use from which a report tells what a cold server takes by now,
-	coldUse    = 0.9 // and the part of that it gets at most
-	rateGain   = 0.1 // weight of one report in what a kind of server takes
+	coldMargin       = 0.7 // of OverloadMultiple less one: the one is a margin for chance, heavy requests and unequal servers
+	minWarmRate      = 1.0 // requests a second, by all nodes, that a warm server is taken to serve at least
+	coldReportMinUse = 0.5 // fraction of its cores in use from which a report shows what a cold server can take now,
+	maxColdUse       = 0.9 // and the fraction of that it gets at most
+	rateGain         = 0.1 // weight of one report in the rate that a kind of server serves
 )
 
-// ramp is the part of its capacity that s has at least, or 1 once it is warm.
-func (b *Balancer) ramp(s *server) float64 {
+// rampFraction returns the fraction of its capacity that s has at least; 1 once it is warm.
+func (b *Balancer) rampFraction(s *server) float64 {
 	age := b.now - s.OnlineSince
-	if s.OnlineSince <= 0 || b.set.Rules.ColdFor <= 0 || age >= b.set.Rules.ColdFor {
+	if s.OnlineSince <= 0 || b.settings.Rules.ColdFor <= 0 || age >= b.settings.Rules.ColdFor {
 		return 1
 	}
-	share := b.set.Rules.ColdShare
-	return share + (1-share)*max(0, age.Seconds())/b.set.Rules.ColdFor.Seconds()
+	share := b.settings.Rules.ColdShare
+	return share + (1-share)*max(0, age.Seconds())/b.settings.Rules.ColdFor.Seconds()
 }
 
-// report follows what a warm server of each kind serves for all nodes, as its load reports tell.
-func (b *Balancer) report(s *server, figures []float64) {
-	if b.ramp(s) < 1 {
-		i, j := slices.Index(b.set.Report, "util"), slices.Index(b.set.Report, "qps")
-		if i >= 0 && j >= 0 && max(i, j) < len(figures) && figures[i] >= coldTells {
-			s.takes = figures[j] / figures[i]
+// recordLoadReport updates the core use and, for each kind of server, the rate that a warm one serves for all nodes.
+// Of a cold server it records what that can take now.
+func (b *Balancer) recordLoadReport(s *server, values []float64) {
+	if b.rampFraction(s) < 1 {
+		utilIndex, qpsIndex := slices.Index(b.settings.Report, "util"), slices.Index(b.settings.Report, "qps")
+		if utilIndex >= 0 && qpsIndex >= 0 && max(utilIndex, qpsIndex) < len(values) && values[utilIndex] >= coldReportMinUse {
+			s.coldCapacity = values[qpsIndex] / values[utilIndex]
 		}
 		return
 	}
-	if i := slices.Index(b.set.Report, "util"); i >= 0 && i < len(figures) {
-		b.busy += busyGain * (figures[i] - b.busy)
+	if utilIndex := slices.Index(b.settings.Report, "util"); utilIndex >= 0 && utilIndex < len(values) {
+		b.coreUse += coreUseGain * (values[utilIndex] - b.coreUse)
 	}
-	if i := slices.Index(b.set.Report, "qps"); i >= 0 && i < len(figures) {
-		rate, ok := b.rates[s.Kind]
+	if qpsIndex := slices.Index(b.settings.Report, "qps"); qpsIndex >= 0 && qpsIndex < len(values) {
+		rate, ok := b.warmRates[s.Kind]
 		if !ok {
-			rate = figures[i]
+			rate = values[qpsIndex]
 		}
-		b.rates[s.Kind] = rate + rateGain*(figures[i]-rate)
+		b.warmRates[s.Kind] = rate + rateGain*(values[qpsIndex]-rate)
 	}
 }
 
-// coldRoom guards the fourth rule. A cold server may get its present part of what a warm one of its kind
-// takes, and no more. It brings the server's budget up to now: between two looks, by the mean of the rates at both.
-func (b *Balancer) coldRoom(s *server) bool {
-	if b.ramp(s) >= 1 {
+// coldBudgetAllows enforces rule 4: a cold server gets at most its current fraction of what a warm one of its kind
+// serves. It first brings the server's budget up to date, at the mean of the rates at this check and the last one.
+func (b *Balancer) coldBudgetAllows(s *server) bool {
+	if b.rampFraction(s) >= 1 {
 		return true
 	}
 	rate, _ := b.coldRate(s)
-	k := &s.cold
+	budget := &s.cold
 	mean := rate
-	if k.rate > 0 {
-		mean = (k.rate + rate) / 2
+	if budget.rate > 0 {
+		mean = (budget.rate + rate) / 2
 	}
-	most := max(1, rate*b.set.Rules.FallFor.Seconds()/4)
-	k.tokens, k.last, k.rate = min(most, k.tokens+mean*(b.now-k.last).Seconds()), b.now, rate
-	return k.tokens >= 1
+	maxTokens := max(1, rate*b.settings.Rules.OverloadFor.Seconds()/4)
+	budget.tokens, budget.lastRefill, budget.rate = min(maxTokens, budget.tokens+mean*(b.now-budget.lastRefill).Seconds()), b.now, rate
+	return budget.tokens >= 1
 }
 
-// coldRate is how many requests a second a cold server may get from this process, and by how much that grows in a
-// second. Without reports, this node's mean rate per server, summed over the nodes, stands for what a warm
-// server takes.
+// coldRate returns the rate, in requests a second, at which this process may send to a cold server, and by how much it
+// grows in a second. Without load reports, this node's mean rate per server, summed over the nodes, stands for what a
+// warm server serves.
 func (b *Balancer) coldRate(s *server) (rate, growth float64) {
-	mean := b.doneRate() / float64(max(1, b.fleet.len()))
-	if rate, ok := b.rates[s.Kind]; ok {
-		mean = rate / float64(b.set.Nodes)
+	mean := b.answerRate() / float64(max(1, b.fleet.len()))
+	if rate, ok := b.warmRates[s.Kind]; ok {
+		mean = rate / float64(b.settings.Nodes)
 	}
-	mean = max(mean, coldFloor/float64(b.set.Nodes))
-	whole := coldMargin * max(0.5, b.set.Rules.FallMultiple-1) * mean / float64(b.processes)
-	rate, growth = whole*b.ramp(s), whole*(1-b.set.Rules.ColdShare)/b.set.Rules.ColdFor.Seconds()
-	if s.takes > 0 {
-		if most := coldUse * s.takes / float64(b.set.Nodes) / float64(b.processes); most < rate {
-			return most, 0
+	mean = max(mean, minWarmRate/float64(b.settings.Nodes))
+	fullRate := coldMargin * max(0.5, b.settings.Rules.OverloadMultiple-1) * mean / float64(b.processCount)
+	rate, growth = fullRate*b.rampFraction(s), fullRate*(1-b.settings.Rules.ColdShare)/b.settings.Rules.ColdFor.Seconds()
+	if s.coldCapacity > 0 {
+		if maxRate := maxColdUse * s.coldCapacity / float64(b.settings.Nodes) / float64(b.processCount); maxRate < rate {
+			return maxRate, 0
 		}
 	}
 	return rate, growth
 }
 
-// coldWait is how long it takes until the budget of a cold server allows a request, at the rate that there is now.
+// coldWait returns how long it takes until the budget of a cold server allows a request, by present rate and growth.
 func (b *Balancer) coldWait(s *server) time.Duration {
 	need := 1 - s.cold.tokens
 	rate, growth := b.coldRate(s)
-	slope := rate + math.Sqrt(rate*rate+2*growth*need) // of rate*t + growth*t^2/2 = need
-	longest := b.set.Rules.ColdFor
+	slope := rate + math.Sqrt(rate*rate+2*growth*need) // solves rate*t + growth*t^2/2 = need
+	maxWait := b.settings.Rules.ColdFor
 	if slope <= 0 {
-		return longest
+		return maxWait
 	}
-	return min(longest, max(time.Millisecond, seconds(min(2*need/slope, longest.Seconds()))))
+	return min(maxWait, max(time.Millisecond, seconds(min(2*need/slope, maxWait.Seconds()))))
 }
 
-// setProcesses follows how many processes this node has. Each cold server's budget is brought up to now at the old
-// number before the new one counts.
+// setProcesses sets how many processes this node has. Each cold server's budget is first brought up to date with the
+// old number.
 func (b *Balancer) setProcesses(n int) {
-	looked := slices.Clone(b.ring)
-	for _, s := range looked {
-		b.coldRoom(s)
+	ringServers := slices.Clone(b.rotation)
+	for _, s := range ringServers {
+		b.coldBudgetAllows(s)
 	}
-	b.processes = n
-	for _, s := range looked {
+	b.processCount = n
+	for _, s := range ringServers {
 		if s.cold.rate > 0 {
 			s.cold.rate, _ = b.coldRate(s)
 		}
-		b.refresh(s)
+		b.updateStatus(s)
 	}
 }
--- a/policy/state_test.go
+++ b/policy/state_test.go
@@ -22,9 +22,9 @@
 	if ok, _ := old.admit("u", "free"); ok {
 		t.Fatal("the bucket should be empty")
 	}
-	old.servers["s00"].threshold, old.servers["s00"].felt = 7.5, true
+	old.servers["s00"].threshold, old.servers["s00"].thresholdCut = 7.5, true
 	old.servers["s01"].cold.tokens, old.servers["s02"].cold.tokens = -2, -2
-	old.rates["k1"] = 44
+	old.warmRates["k1"] = 44
 	m := old.Snapshot(now)
 
 	const origin = time.Hour // of the new process's clock, at the moment at which the old one's shows 2 s
@@ -39,8 +39,8 @@
 	if ok, _ := next.admit("u", "free"); ok {
 		t.Error("a tenant was handed a fresh burst")
 	}
-	if s := next.servers["s00"]; s.threshold != 7.5 || !s.felt {
-		t.Errorf("threshold %v, felt %v", s.threshold, s.felt)
+	if s := next.servers["s00"]; s.threshold != 7.5 || !s.thresholdCut {
+		t.Errorf("threshold %v, felt %v", s.threshold, s.thresholdCut)
 	}
 	if got := next.servers["s01"].cold.tokens; got != -2 {
 		t.Errorf("the cold server's budget is at %v, want -2", got)
@@ -48,8 +48,8 @@
 	if got := next.servers["s02"].cold.tokens; got < 0 {
 		t.Errorf("a new process of a server has the old one's budget, %v", got)
 	}
-	if next.rates["k1"] != 44 {
-		t.Errorf("rates %v", next.rates)
+	if next.warmRates["k1"] != 44 {
+		t.Errorf("rates %v", next.warmRates)
 	}
 }
 
@@ -71,14 +71,14 @@
 		}
 		next.Restore(time.Hour, m, 100*ms)
 		next.Handle(time.Hour, MemberList{Kind: ListRestored, Members: members(5)})
-		if next.fleet.ejected != want {
-			t.Errorf("%d were out: %d still are, want %d", out, next.fleet.ejected, want)
+		if next.fleet.ejectedCount != want {
+			t.Errorf("%d were out: %d still are, want %d", out, next.fleet.ejectedCount, want)
 			continue
 		}
 		for i := range want {
 			was, h := old.order()[i].health, next.servers[old.order()[i].Server].health
-			rest := was.until - old.now - 500*ms
-			if !h.out || h.hung != was.hung || h.times != was.times || h.until != time.Hour+rest || h.score != 0.6 {
+			rest := was.ejectedUntil - old.now - 500*ms
+			if !h.ejected || h.hung != was.hung || h.ejections != was.ejections || h.ejectedUntil != time.Hour+rest || h.score != 0.6 {
 				t.Errorf("%d were out: the breaker is %+v, was %+v; want %v more", out, h, was, rest)
 			}
 			if to := sentTo(t, next.Handle(time.Hour+ms, ask(string(rune('a'+i)), "free"))); to == old.order()[i].Server {
@@ -100,8 +100,8 @@
 		b.Restore(time.Hour, m, -time.Second)
 		b.Handle(time.Hour, MemberList{Kind: ListRestored, Members: members(3)})
 		s := b.servers["s00"]
-		if b.pace != 1 || s.threshold != b.start(s) || s.takes != 0 || len(b.rates) != 0 {
-			t.Errorf("pace %v, threshold %v, takes %v, rates %v", b.pace, s.threshold, s.takes, b.rates)
+		if b.pace != 1 || s.threshold != b.initialThreshold(s) || s.coldCapacity != 0 || len(b.warmRates) != 0 {
+			t.Errorf("pace %v, threshold %v, takes %v, rates %v", b.pace, s.threshold, s.coldCapacity, b.warmRates)
 		}
 		b.Handle(time.Hour+time.Second, Request{ID: "r", Class: "free", Tenant: "t", ExpiresIn: time.Second})
 		if b.servers["s00"].inflight != 1 {
@@ -132,9 +132,9 @@
 
 // The log's line names every server of a small fleet, and of a large one those that matter.
 func TestLogLineOfManyServersIsBounded(t *testing.T) {
-	small := start(t, site(1), members(mostTold))
-	if got := small.String(); strings.Count(got, "=0/") != mostTold || strings.Contains(got, "left_out") {
-		t.Errorf("of %d servers: %s", mostTold, got)
+	small := start(t, site(1), members(maxLoggedServers))
+	if got := small.String(); strings.Count(got, "=0/") != maxLoggedServers || strings.Contains(got, "left_out") {
+		t.Errorf("of %d servers: %s", maxLoggedServers, got)
 	}
 	b := start(t, site(1), members(39000))
 	b.now = time.Hour
@@ -142,11 +142,11 @@
 		t.Errorf("with nothing to do: %s", got)
 	}
 	b.order()[10000].inflight, b.order()[10000].lastSend = 2, b.now
-	b.setOut(b.order()[20000], true)
-	b.order()[30000].lastDone = b.now - usedFor
-	b.order()[30001].lastDone = b.now - usedFor - 1
+	b.setEjected(b.order()[20000], true)
+	b.order()[30000].lastAnswer = b.now - recentlyUsedFor
+	b.order()[30001].lastAnswer = b.now - recentlyUsedFor - 1
 	for _, i := range []int{30001, 30000, 10000} {
-		b.touch(b.order()[i])
+		b.markUsed(b.order()[i])
 	}
 	got := b.String()
 	for i, want := range map[int]string{10000: "=2/6.0 ", 20000: "=0/6.0/out ", 30000: "=0/6.0 "} {
@@ -158,17 +158,17 @@
 		t.Errorf("the end is %q", got[max(0, len(got)-80):])
 	}
 	for _, s := range b.order() {
-		b.setOut(s, true)
+		b.setEjected(s, true)
 	}
 	looked := *b.visits
 	got = b.String()
 	looked = *b.visits - looked
 	t.Logf("the line looks at %d entries", looked)
-	if looked > 4*mostTold {
+	if looked > 4*maxLoggedServers {
 		t.Errorf("the line looks at %d entries", looked)
 	}
-	if n := strings.Count(got, "/out"); n != mostTold || len(got) > 30*mostTold {
-		t.Errorf("%d servers in %d bytes, want %d", n, len(got), mostTold)
+	if n := strings.Count(got, "/out"); n != maxLoggedServers || len(got) > 30*maxLoggedServers {
+		t.Errorf("%d servers in %d bytes, want %d", n, len(got), maxLoggedServers)
 	}
 	if !strings.HasSuffix(got, " left_out=38800 idle=0 out=38800") {
 		t.Errorf("the end is %q", got[max(0, len(got)-80):])
--- a/policy/status.go
+++ b/policy/status.go
@@ -4,62 +4,63 @@
 	"math"
 )
 
-// The status of servers, by which the indexes find those that can take a request. It follows from a server's own state
-// and the time: refresh has to follow each change of what a server holds, of its health, its threshold and its place.
+// Server status, from which the indexes find the servers that can take a request. It follows from the
+// server's own state and the time: updateStatus must be called after every change of the attempts that a
+// server holds, of its health, of its threshold and of whether it is in service.
 
 const (
-	never = Time(math.MaxInt64)
-	// ringLooks is how many servers of the ring each event looks at. Their times come from figures that
-	// other servers' outcomes move, and are put right in turn.
-	ringLooks = 2
-	// mostWakes is how many servers each event looks at whose time has come. Slow starts of a whole zone may end in one
-	// moment; the others count as they did until the next events.
-	mostWakes = 128
+	farFuture = Time(math.MaxInt64)
+	// rotationPerEvent is how many servers of the rotation each event re-evaluates. The times of their changes
+	// depend on figures that outcomes of other servers move, and are corrected in turn.
+	rotationPerEvent = 2
+	// maxReevaluationsPerEvent bounds the due status changes that each event applies: slow starts of a whole zone may
+	// end at the same moment. The other servers keep their status until the next events.
+	maxReevaluationsPerEvent = 128
 )
 
-// status is what the indexes know of a server.
+// status is the state of a server as indexed.
 type status struct {
-	keys  treeKeys
-	cold  bool    // it is in slow start
-	out   bool    // it is ejected
-	ready float64 // the time from which an ejected one may be tried
-	adds  int     // its part of crowdOut,
-	one   int     // and of crowdOf
-	wake  Time    // from when on this may be otherwise, though nothing happens
-	ring  bool    // or before, by what is learned from others
+	keys         treeKeys
+	cold         bool    // in slow start
+	ejected      bool    // ejected by its circuit breaker
+	trialAt      float64 // time from which an ejected server may be tried; absent: not for now
+	warmInFlight int     // its part of serverIndex.warmInFlight
+	warmServers  int     // its part of serverIndex.warmServers
+	reevaluateAt Time    // when the status changes without an event
+	inRotation   bool    // it may change earlier, by figures of other servers
 }
 
-// noStatus is of a server that is not in service.
-var noStatus = status{keys: allAbsent, ready: absent, wake: never}
+// outOfService is the status of a server that is not in service.
+var outOfService = status{keys: allAbsent, trialAt: absent, reevaluateAt: farFuture}
 
-// statusOf works out the status of s.
+// statusOf computes the status of s.
 func (b *Balancer) statusOf(s *server) status {
-	st := noStatus
-	if !s.in {
+	st := outOfService
+	if !s.inService {
 		return st
 	}
-	holds := b.holds(s)
-	for _, late := range s.lateResponses {
-		st.wake = min(st.wake, late.until)
+	holds := b.outstanding(s)
+	for _, late := range s.abandoned {
+		st.reevaluateAt = min(st.reevaluateAt, late.until)
 	}
 	admits := true
-	if st.cold = b.ramp(s) < 1; st.cold {
-		st.ring = true
-		if at := s.OnlineSince + b.set.Rules.ColdFor; at >= s.OnlineSince { // a start far ahead must not wrap around
-			st.wake = min(st.wake, at)
+	if st.cold = b.rampFraction(s) < 1; st.cold {
+		st.inRotation = true
+		if at := s.OnlineSince + b.settings.Rules.ColdFor; at >= s.OnlineSince { // no overflow for a start time far ahead
+			st.reevaluateAt = min(st.reevaluateAt, at)
 		}
-		if admits = b.coldRoom(s); !admits {
-			st.wake = min(st.wake, b.now+b.coldWait(s))
+		if admits = b.coldBudgetAllows(s); !admits {
+			st.reevaluateAt = min(st.reevaluateAt, b.now+b.coldWait(s))
 		}
 	}
-	if st.out = s.health.out; st.out {
-		if admits && !s.health.trialOut {
-			st.ready = float64(s.health.until)
+	if st.ejected = s.health.ejected; st.ejected {
+		if admits && !s.health.trialPending {
+			st.trialAt = float64(s.health.ejectedUntil)
 		}
 		return st
 	}
 	if !st.cold {
-		st.adds, st.one = holds, 1
+		st.warmInFlight, st.warmServers = holds, 1
 	}
 	if admits && s.threshold > 0 {
 		b.fillKeys(s, holds, &st)
@@ -67,72 +68,72 @@
 	return st
 }
 
-// fillKeys fills in the keys of a server that may be used.
+// fillKeys computes the tree keys of a server that may be used.
 func (b *Balancer) fillKeys(s *server, holds int, st *status) {
 	if s.inflight > 0 {
 		at := b.hungAt(s)
 		if b.now > at {
 			return
 		}
-		st.wake = min(st.wake, at+1)
+		st.reevaluateAt = min(st.reevaluateAt, at+1)
 	}
 	st.keys[loadKey] = float64(holds+1) / s.threshold
-	if at := b.pacedUntil(s); holds == 0 && b.now < at {
-		st.wake, st.ring = min(st.wake, at), st.ring || b.scaled()
+	if at := b.nextSendAt(s); holds == 0 && b.now < at {
+		st.reevaluateAt, st.inRotation = min(st.reevaluateAt, at), st.inRotation || b.serversShared()
 		return
 	}
 	st.keys[roomKey] = float64(holds) / s.threshold
 }
 
-// refresh brings the indexes up to date with s.
-func (b *Balancer) refresh(s *server) {
+// updateStatus recomputes the status of s and updates the indexes.
+func (b *Balancer) updateStatus(s *server) {
 	*b.visits++
 	was, now := s.status, b.statusOf(s)
 	if was == now {
 		return
 	}
 	s.status = now
-	b.crowdOut += now.adds - was.adds
-	b.crowdOf += now.one - was.one
-	if was.wake != now.wake {
-		b.wakes.set(s, now.wake < never)
+	b.warmInFlight += now.warmInFlight - was.warmInFlight
+	b.warmServers += now.warmServers - was.warmServers
+	if was.reevaluateAt != now.reevaluateAt {
+		b.reevaluationHeap.set(s, now.reevaluateAt < farFuture)
 	}
-	if was.ring != now.ring {
-		b.enterRing(s, now.ring)
+	if was.inRotation != now.inRotation {
+		b.setInRotation(s, now.inRotation)
 	}
-	if was.keys == now.keys && was.cold == now.cold && was.out == now.out && was.ready == now.ready {
+	if was.keys == now.keys && was.cold == now.cold && was.ejected == now.ejected && was.trialAt == now.trialAt {
 		return
 	}
 	for _, p := range s.group.pools {
-		p.part(s).update(s, was, now)
+		p.setOf(s).update(s, was, now)
 	}
 }
 
-// advance brings the indexes up to date with the time.
-func (b *Balancer) advance() {
-	for looked := 0; looked < mostWakes && len(b.wakes.servers) > 0 && b.wakes.servers[0].status.wake <= b.now; looked++ {
-		b.refresh(b.wakes.servers[0])
-	}
-	for range min(ringLooks, len(b.ring)) {
-		b.hand = (b.hand + 1) % len(b.ring)
-		if b.refresh(b.ring[b.hand]); len(b.ring) == 0 {
+// updateDueStatuses applies the status changes that are due, and re-evaluates some servers of the rotation.
+func (b *Balancer) updateDueStatuses() {
+	for looked := 0; looked < maxReevaluationsPerEvent && len(b.reevaluationHeap.servers) > 0 && b.reevaluationHeap.servers[0].status.reevaluateAt <= b.now; looked++ {
+		b.updateStatus(b.reevaluationHeap.servers[0])
+	}
+	for range min(rotationPerEvent, len(b.rotation)) {
+		b.rotationCursor = (b.rotationCursor + 1) % len(b.rotation)
+		if b.updateStatus(b.rotation[b.rotationCursor]); len(b.rotation) == 0 {
 			return
 		}
 	}
 }
 
-// enterRing puts s into the ring, or takes it out.
-func (b *Balancer) enterRing(s *server, in bool) {
+// setInRotation adds s to the rotation, or removes it.
+func (b *Balancer) setInRotation(s *server, in bool) {
 	if in {
-		b.ring = append(b.ring, s)
-		s.ringAt = len(b.ring)
+		b.rotation = append(b.rotation, s)
+		s.rotationPosition = len(b.rotation)
 		return
 	}
-	last := b.ring[len(b.ring)-1]
-	b.ring[s.ringAt-1], last.ringAt = last, s.ringAt
-	b.ring[len(b.ring)-1] = nil
-	b.ring, s.ringAt = b.ring[:len(b.ring)-1], 0
+	last := b.rotation[len(b.rotation)-1]
+	b.rotation[s.rotationPosition-1], last.rotationPosition = last, s.rotationPosition
+	b.rotation[len(b.rotation)-1] = nil
+	b.rotation, s.rotationPosition = b.rotation[:len(b.rotation)-1], 0
 }
 
-// crowd is how many attempts the servers that count hold by now, and how many these servers are.
-func (b *Balancer) crowd() (out, of int) { return b.crowdOut, b.crowdOf }
+// warmLoad returns the attempts held by warm servers that are not ejected, and the number of these servers.
+func (b *Balancer) warmLoad() (inFlight, servers int) { return b.warmInFlight, b.warmServers }
