--- a/cmd/simhost/main.go
+++ b/cmd/simhost/main.go
@@ -1,5 +1,5 @@
-// Command simhost hosts instances of the decision module on the simulator's wire: it reads batches
-// on standard input, routes events to instances, and writes their actions on standard output.
+// Command simhost runs instances of the decision module for the simulator. It reads batches of messages on standard
+// input, dispatches events to instances, and writes their actions to standard output.
 package main
 
 import (
@@ -16,10 +16,10 @@
 	"cobaltward/policy"
 )
 
-// bufferSize of standard input and output, in bytes; batches can run to megabytes.
+// bufferSize is the buffer size of standard input and output, in bytes: a batch can be several megabytes long.
 const bufferSize = 1 << 20
 
-// gcPercent trades memory for CPU: the live heap is small and CPU per request is tight.
+// gcPercent trades memory for CPU: the live heap is small, and the CPU budget per request is tight.
 const gcPercent = 800
 
 func main() {
@@ -30,37 +30,37 @@
 	}
 }
 
-// host holds the instances of one process.
+// host holds all instances of the process, by node number.
 type host struct {
-	dec   wire.Decoder
-	nodes map[int]*policy.Balancer
-	now   policy.Time
-	open  bool // inside a batch
-	out   []byte
+	decoder   wire.Decoder
+	instances map[int]*policy.Balancer
+	now       policy.Time
+	inBatch   bool // a batch has begun and not ended
+	out       []byte
 }
 
-// serve runs until the end of input. Errors name the line.
+// serve processes batches until the end of input and flushes the output after each. Errors name the line number.
 func serve(in io.Reader, out io.Writer) error {
-	h := host{nodes: make(map[int]*policy.Balancer)}
+	h := host{instances: make(map[int]*policy.Balancer)}
 	r := bufio.NewReaderSize(in, bufferSize)
 	w := bufio.NewWriterSize(out, bufferSize)
-	var long []byte
-	for n := 1; ; n++ {
-		line, err := readLine(r, &long)
+	var overflow []byte
+	for lineNumber := 1; ; lineNumber++ {
+		line, err := readLine(r, &overflow)
 		if errors.Is(err, io.EOF) {
-			if len(line) == 0 && !h.open {
+			if len(line) == 0 && !h.inBatch {
 				return nil
 			}
-			return fmt.Errorf("line %d: input ended inside a batch", n)
+			return fmt.Errorf("line %d: input ended inside a batch", lineNumber)
 		}
 		if err != nil {
-			return fmt.Errorf("line %d: reading: %w", n, err)
+			return fmt.Errorf("line %d: reading: %w", lineNumber, err)
 		}
-		done, err := h.line(line)
+		batchDone, err := h.handleLine(line)
 		if err != nil {
-			return fmt.Errorf("line %d: %w", n, err)
+			return fmt.Errorf("line %d: %w", lineNumber, err)
 		}
-		if !done {
+		if !batchDone {
 			continue
 		}
 		if _, err := w.Write(h.out); err != nil {
@@ -73,63 +73,65 @@
 	}
 }
 
-// readLine returns the next line without its end; long holds lines that outgrow the buffer.
-func readLine(r *bufio.Reader, long *[]byte) ([]byte, error) {
+// readLine returns the next line without its line ending. A line longer than the reader's buffer is assembled in
+// overflow.
+func readLine(r *bufio.Reader, overflow *[]byte) ([]byte, error) {
 	line, err := r.ReadSlice('\n')
 	if errors.Is(err, bufio.ErrBufferFull) {
-		*long = append((*long)[:0], line...)
+		*overflow = append((*overflow)[:0], line...)
 		for errors.Is(err, bufio.ErrBufferFull) {
 			line, err = r.ReadSlice('\n')
-			*long = append(*long, line...)
+			*overflow = append(*overflow, line...)
 		}
-		line = *long
+		line = *overflow
 	}
 	return bytes.TrimRight(line, "\r\n"), err
 }
 
-// line carries out one line and reports whether it closed a batch.
-func (h *host) line(raw []byte) (bool, error) {
-	l, err := h.dec.Decode(raw)
+// handleLine executes one message and reports whether it ended a batch.
+func (h *host) handleLine(raw []byte) (bool, error) {
+	line, err := h.decoder.Decode(raw)
 	if err != nil {
 		return false, err
 	}
-	if (l.Kind == wire.Mark) == h.open {
+	if (line.Kind == wire.BeginBatch) == h.inBatch {
 		return false, fmt.Errorf("message outside of a batch, or a batch inside another")
 	}
-	switch l.Kind {
-	case wire.Mark:
-		h.now, h.open = l.Now, true
+	switch line.Kind {
+	case wire.BeginBatch:
+		h.now, h.inBatch = line.Now, true
 	case wire.EndBatch:
-		h.open, h.out = false, wire.AppendYield(h.out)
+		h.inBatch, h.out = false, wire.AppendYield(h.out)
 		return true, nil
 	case wire.Configure:
-		b, err := policy.New(l.Settings, h.now, l.Seed)
+		balancer, err := policy.New(line.Settings, h.now, line.Seed)
 		if err != nil {
 			return false, fmt.Errorf("configure: conf: %w", err)
 		}
-		h.nodes[l.Node] = b
+		h.instances[line.Node] = balancer
 	case wire.Shutdown:
-		delete(h.nodes, l.Node)
+		delete(h.instances, line.Node)
 	case wire.Event:
-		// Nothing arrives for a node that was shut down; if it does, nobody is there to hear it.
-		if b := h.nodes[l.Node]; b != nil {
-			h.deliver(l.Node, b, l.Event)
+		// No events are expected for a node after its shutdown; any that arrive are dropped.
+		if balancer := h.instances[line.Node]; balancer != nil {
+			h.deliver(line.Node, balancer, line.Event)
 		}
 	}
 	return false, nil
 }
 
-// deliver hands one event to an instance; a panic in it is reported, not passed on.
-func (h *host) deliver(node int, b *policy.Balancer, ev policy.Event) {
+// deliver passes one event to an instance and encodes its actions. A panic in the instance is recovered and reported,
+// and the instance is removed.
+func (h *host) deliver(node int, balancer *policy.Balancer, event policy.Event) {
 	defer func() {
 		if p := recover(); p != nil {
 			text := strings.ReplaceAll(fmt.Sprint(p), "\n", " ")
 			fmt.Fprintf(os.Stderr, "instance %d: %s\n%s", node, text, debug.Stack())
 			h.out = wire.AppendBroken(h.out, node, text)
-			delete(h.nodes, node)
+			delete(h.instances, node)
 		}
 	}()
-	for _, a := range b.Handle(h.now, ev) {
-		h.out = wire.AppendAction(h.out, node, a)
+	for _, action := range balancer.Handle(h.now, event) {
+		h.out = wire.AppendAction(h.out, node, action)
 	}
 }
--- a/cmd/simhost/main_test.go
+++ b/cmd/simhost/main_test.go
@@ -8,17 +8,17 @@
 	"cobaltward/policy"
 )
 
-const conf = `["configure",N,7,{"position":0,"groupSize":2,"zone":"a",` +
+const configureTemplate = `["configure",N,7,{"position":0,"groupSize":2,"zone":"a",` +
 	`"services":[{"name":"x","aim":250,"deadline":600,"repeat":"free"}],"limits":{"maxAttempts":3}}]`
 
-const list = `["list",0,[[null,"Running",1,"k","a",0,"s1"],[null,"Running",1,"k","a",0,"s2"]]]`
+const listLine = `["list",0,[[null,"Running",1,"k","a",0,"s1"],[null,"Running",1,"k","a",0,"s2"]]]`
 
-func configure(node string) string { return strings.Replace(conf, "N", node, 1) }
+func configure(node string) string { return strings.Replace(configureTemplate, "N", node, 1) }
 
 func lines(l ...string) string { return strings.Join(l, "\n") + "\n" }
 
-func TestServesABatch(t *testing.T) {
-	in := lines(`["mark",0]`, `["eob"]`, `["mark",5]`, list, configure("3"), `["peersKnown",3,"restored",1,0]`,
+func TestServesBatch(t *testing.T) {
+	in := lines(`["mark",0]`, `["eob"]`, `["mark",5]`, listLine, configure("3"), `["peersKnown",3,"restored",1,0]`,
 		`["ingress",3,"r1","x",null,null,300]`, `["eob"]`)
 	var out bytes.Buffer
 	if err := serve(strings.NewReader(in), &out); err != nil {
@@ -49,15 +49,15 @@
 	} {
 		err := serve(strings.NewReader(in), &bytes.Buffer{})
 		if err == nil || !strings.Contains(err.Error(), want) {
-			t.Errorf("%q: got %v, want it to name %q", in, err, want)
+			t.Errorf("%q: got %v, want an error containing %q", in, err, want)
 		}
 	}
 }
 
-// Instances act alike whether they share a process or not.
+// An instance's actions don't depend on which other instances share its process.
 func TestInstancesAreIndependent(t *testing.T) {
 	run := func(nodes ...string) string {
-		l := []string{`["mark",1]`, list}
+		l := []string{`["mark",1]`, listLine}
 		for _, n := range nodes {
 			l = append(l, configure(n), `["peersKnown",`+n+`,"restored",1,0]`)
 		}
@@ -71,12 +71,12 @@
 		return strings.TrimSuffix(out.String(), "[\"yield\"]\n")
 	}
 	if got, want := run("1", "2"), run("1")+run("2"); got != want {
-		t.Errorf("together\n%sapart\n%s", got, want)
+		t.Errorf("in one process:\n%sin separate processes:\n%s", got, want)
 	}
 }
 
-func TestRestartInOneBatchForgets(t *testing.T) {
-	in := lines(`["mark",0]`, list, configure("3"), `["peersKnown",3,"restored",1,0]`,
+func TestRestartWithinBatchClearsState(t *testing.T) {
+	in := lines(`["mark",0]`, listLine, configure("3"), `["peersKnown",3,"restored",1,0]`,
 		`["ingress",3,"r1","x",null,null,300]`, `["shutdown",3]`, `["lapsed",3,"r1"]`, configure("3"),
 		`["peersKnown",3,"restored",1,0]`, `["completed",3,"r1",0,"s1","err",1,false]`, `["eob"]`)
 	var out bytes.Buffer
@@ -84,18 +84,18 @@
 		t.Fatal(err)
 	}
 	if n := strings.Count(out.String(), `"handOff"`); n != 1 {
-		t.Errorf("%d sends, want 1: the new life knows no r1\n%s", n, out.String())
+		t.Errorf("%d sends, want 1: the restarted instance must not know request r1\n%s", n, out.String())
 	}
 }
 
-// A crash in one instance is reported with its text; the others go on.
+// A panic in one instance is reported with its text, and only that instance is removed.
 func TestPanicIsReported(t *testing.T) {
-	h := host{nodes: map[int]*policy.Balancer{3: nil}}
+	h := host{instances: map[int]*policy.Balancer{3: nil}}
 	h.deliver(3, nil, policy.Timer{})
 	if got := string(h.out); !strings.HasPrefix(got, `["broken",3,"`) || !strings.Contains(got, "nil pointer") {
 		t.Errorf("got %s", got)
 	}
-	if _, kept := h.nodes[3]; kept {
-		t.Error("the broken instance is still there")
+	if _, kept := h.instances[3]; kept {
+		t.Error("the instance that panicked was not removed")
 	}
 }
--- a/cmd/soak/main.go
+++ b/cmd/soak/main.go
@@ -70,7 +70,7 @@
 	if c.Parallel < 1 || c.Parallel > maxParallel {
 		return fmt.Errorf("parallel: want 1 to %d, got %d", maxParallel, c.Parallel)
 	}
-	options := soak.Options{Duration: c.Duration, Nodes: c.Nodes, Servers: c.Servers, Faults: faults, Overload: c.Overload || c.Growth, Core: c.Core, Calm: c.Growth}
+	options := soak.Options{Duration: c.Duration, Nodes: c.Nodes, Servers: c.Servers, Kinds: faults, Overload: c.Overload || c.Growth, CPUShare: c.Core, NoDisruptions: c.Growth}
 	if c.Plan {
 		return printPlans(out, options, seeds)
 	}
@@ -127,7 +127,7 @@
 			defer func() { <-turns }()
 			o := options
 			o.Seed = seed
-			results[i], errs[i] = soak.Execute(ctx, soak.Settings{Binary: c.Node, Faulty: c.Faulty, Env: c.Env, Options: o,
+			results[i], errs[i] = soak.Execute(ctx, soak.Settings{Binary: c.Node, FaultyBinary: c.Faulty, Env: c.Env, Options: o,
 				Dir: filepath.Join(dir, fmt.Sprintf("seed-%d", seed))})
 			printing.Lock()
 			defer printing.Unlock()
@@ -140,7 +140,7 @@
 		err = c.compare(ctx, out, results, dir)
 	}
 	for _, r := range results {
-		if r.Broken() {
+		if r.Failed() {
 			return results, errors.Join(err, errBroken)
 		}
 	}
@@ -151,14 +151,14 @@
 func (c command) compare(ctx context.Context, out io.Writer, results []soak.Result, dir string) error {
 	for _, large := range results {
 		o := soak.Options{Seed: large.Plan.Seed, Duration: large.Plan.Duration, Nodes: large.Plan.Nodes, Servers: c.Usual,
-			Overload: true, Core: c.Core, Calm: true}
-		usual, err := soak.Execute(ctx, soak.Settings{Binary: c.Node, Faulty: c.Faulty, Env: c.Env, Options: o,
+			Overload: true, CPUShare: c.Core, NoDisruptions: true}
+		usual, err := soak.Execute(ctx, soak.Settings{Binary: c.Node, FaultyBinary: c.Faulty, Env: c.Env, Options: o,
 			Dir: filepath.Join(dir, fmt.Sprintf("seed-%d-usual", o.Seed))})
 		print(out, o.Seed, usual, err)
 		if err != nil {
 			return err
 		}
-		lines, broken := soak.Growth(usual, large)
+		lines, broken := soak.CompareUsage(usual, large)
 		for _, line := range lines {
 			fmt.Fprintln(out, "  growth:", line)
 		}
@@ -175,12 +175,12 @@
 		return
 	}
 	fmt.Fprintf(out, "seed %d: %d troubles, %d requests %v, %d attempts, %d left, %d crossed, %d died, %d bad peers, %d starts (slowest %v), "+
-		"%d kB, %d descriptors; %d findings, node violations %v, denials %v\n", seed, len(r.Plan.Troubles), r.Counts.Requests,
-		r.Counts.Statuses, r.Counts.Attempts, r.Counts.Left, r.Counts.Crossed, r.Counts.Died, r.Counts.BadPeers, r.Starts,
-		r.SlowestUp.Round(time.Millisecond), r.MemoryKB, r.Sockets, len(r.Findings), r.Violations, r.Denials)
+		"%d kB, %d descriptors; %d findings, node violations %v, denials %v\n", seed, len(r.Plan.Disruptions), r.Counts.Requests,
+		r.Counts.Statuses, r.Counts.Attempts, r.Counts.Abandoned, r.Counts.CloseRaces, r.Counts.LostToKill, r.Counts.BadPeers, r.Starts,
+		r.SlowestStart.Round(time.Millisecond), r.MaxMemoryKB, r.MaxDescriptors, len(r.Findings), r.Violations, r.Denials)
 	if v := r.Plan.Overload; v != nil {
 		fmt.Fprintf(out, "  overload: %d servers that take %.0f requests a second, %v each, %.2f of a core; needs %+v, slowest answer %v\n",
-			r.Plan.Servers, v.Takes, v.Work, v.Core, r.Usage, r.Counts.Slowest)
+			r.Plan.Servers, v.Capacity, v.ServiceTime, v.CPUShare, r.Usage, r.Counts.MaxLateness)
 	}
 	for i, f := range r.Findings {
 		if i == mostShown {
@@ -194,15 +194,15 @@
 func printPlans(out io.Writer, options soak.Options, seeds []uint64) error {
 	for _, seed := range seeds {
 		options.Seed = seed
-		plan, err := soak.Draw(options)
+		plan, err := soak.NewPlan(options)
 		if err != nil {
 			return err
 		}
 		fmt.Fprintf(out, "seed %d: subscribe %v, hedging %v, %.1f requests a second to each node\n", seed, plan.Subscribe, plan.Hedging, plan.Rate)
-		for _, node := range slices.Sorted(maps.Keys(plan.Faults)) {
-			fmt.Fprintf(out, "  node %d: %s\n", node, plan.Faults[node])
+		for _, node := range slices.Sorted(maps.Keys(plan.NodeFaults)) {
+			fmt.Fprintf(out, "  node %d: %s\n", node, plan.NodeFaults[node])
 		}
-		for _, t := range plan.Troubles {
+		for _, t := range plan.Disruptions {
 			fmt.Fprintln(out, " ", t)
 		}
 	}
--- a/cmd/wayhold/inherit.go
+++ b/cmd/wayhold/inherit.go
@@ -8,36 +8,36 @@
 	"syscall"
 )
 
-// inheritedVar names the descriptor of a listening socket that the platform holds for the clients: it
-// outlives each process, so that a new version takes over without a client noticing.
-const inheritedVar = "ROUTER_INHERITED_FD"
+// inheritedFDEnv is the environment variable with the file descriptor of the client-facing listening socket. The
+// platform keeps that socket open across processes, so that a new version takes over without clients noticing.
+const inheritedFDEnv = "ROUTER_INHERITED_FD"
 
-// inherit adopts the socket at a descriptor. It is closed in the end, but never shut down, for others
-// hold it too.
-func inherit(text string) (net.Listener, error) {
-	fd, err := strconv.ParseUint(text, 10, 31)
+// inheritListener returns a listener for the inherited descriptor whose number fdText holds. The socket must be
+// closed but never shut down, because other processes share it.
+func inheritListener(fdText string) (net.Listener, error) {
+	fd, err := strconv.ParseUint(fdText, 10, 31)
 	if err != nil {
-		return nil, fmt.Errorf("%s: want a descriptor's number, got %q", inheritedVar, text)
+		return nil, fmt.Errorf("%s: want a file descriptor number, got %q", inheritedFDEnv, fdText)
 	}
-	// All is checked before the descriptor is taken: if it isn't the socket meant, it may be the runtime's.
-	kind, err := syscall.GetsockoptInt(int(fd), syscall.SOL_SOCKET, syscall.SO_TYPE)
+	// Check the descriptor before taking ownership of it: a wrong number may belong to the Go runtime.
+	socketType, err := syscall.GetsockoptInt(int(fd), syscall.SOL_SOCKET, syscall.SO_TYPE)
 	if err != nil {
-		return nil, fmt.Errorf("%s: descriptor %d is no open socket: %w", inheritedVar, fd, err)
+		return nil, fmt.Errorf("%s: descriptor %d is not an open socket: %w", inheritedFDEnv, fd, err)
 	}
-	listens, err := syscall.GetsockoptInt(int(fd), syscall.SOL_SOCKET, syscall.SO_ACCEPTCONN)
-	if err != nil || listens == 0 || kind != syscall.SOCK_STREAM {
-		return nil, fmt.Errorf("%s: descriptor %d is no listening TCP socket", inheritedVar, fd)
+	listening, err := syscall.GetsockoptInt(int(fd), syscall.SOL_SOCKET, syscall.SO_ACCEPTCONN)
+	if err != nil || listening == 0 || socketType != syscall.SOCK_STREAM {
+		return nil, fmt.Errorf("%s: descriptor %d is not a listening TCP socket", inheritedFDEnv, fd)
 	}
 	switch addr, err := syscall.Getsockname(int(fd)); addr.(type) {
 	case *syscall.SockaddrInet4, *syscall.SockaddrInet6:
 	default:
-		return nil, fmt.Errorf("%s: descriptor %d is no listening TCP socket (%T, %v)", inheritedVar, fd, addr, err)
+		return nil, fmt.Errorf("%s: descriptor %d is not a listening TCP socket (%T, %v)", inheritedFDEnv, fd, addr, err)
 	}
-	f := os.NewFile(uintptr(fd), "clients")
-	defer f.Close() // the listener has a copy
-	var l net.Listener
-	if err := atStart(func() (err error) { l, err = net.FileListener(f); return err }); err != nil {
-		return nil, fmt.Errorf("%s: %w", inheritedVar, err)
+	file := os.NewFile(uintptr(fd), "clients")
+	defer file.Close() // net.FileListener duplicates the descriptor
+	var listener net.Listener
+	if err := retryAtStart(func() (err error) { listener, err = net.FileListener(file); return err }); err != nil {
+		return nil, fmt.Errorf("%s: %w", inheritedFDEnv, err)
 	}
-	return l, nil
+	return listener, nil
 }
--- a/cmd/wayhold/inherit_test.go
+++ b/cmd/wayhold/inherit_test.go
@@ -11,10 +11,10 @@
 	"testing"
 )
 
-// descriptor gives a test one of its own, closed or handed on by the test.
-func descriptor(t *testing.T, of interface{ File() (*os.File, error) }) string {
+// dupDescriptor returns the number of a duplicate of a socket's descriptor. The caller owns the duplicate.
+func dupDescriptor(t *testing.T, socket interface{ File() (*os.File, error) }) string {
 	t.Helper()
-	f, err := of.File()
+	f, err := socket.File()
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -26,27 +26,27 @@
 	return fmt.Sprint(fd)
 }
 
-func TestInheritsAListeningSocket(t *testing.T) {
-	held, err := net.Listen("tcp", "127.0.0.1:0")
+func TestInheritsListeningSocket(t *testing.T) {
+	original, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer held.Close()
-	l, err := inherit(descriptor(t, held.(*net.TCPListener)))
+	defer original.Close()
+	inherited, err := inheritListener(dupDescriptor(t, original.(*net.TCPListener)))
 	if err != nil {
 		t.Fatal(err)
 	}
-	if l.Addr().String() != held.Addr().String() {
-		t.Errorf("listens at %v, want %v", l.Addr(), held.Addr())
+	if inherited.Addr().String() != original.Addr().String() {
+		t.Errorf("listens at %v, want %v", inherited.Addr(), original.Addr())
 	}
-	l.Close() // the end of one process leaves the socket open for the next
+	inherited.Close() // closing it in one process leaves the socket open for the next
 	go func() {
-		if c, err := held.Accept(); err == nil {
+		if c, err := original.Accept(); err == nil {
 			_, _ = io.WriteString(c, "x")
 			c.Close()
 		}
 	}()
-	c, err := net.Dial("tcp", held.Addr().String())
+	c, err := net.Dial("tcp", original.Addr().String())
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -56,8 +56,9 @@
 	}
 }
 
-// What is no listening TCP socket gives one line that names the variable, and is left alone.
-func TestInheritsNothingElse(t *testing.T) {
+// Anything but a listening TCP socket is rejected with a one-line error that names the variable, and the descriptor
+// stays open.
+func TestRejectsOtherDescriptors(t *testing.T) {
 	file, err := os.CreateTemp(t.TempDir(), "")
 	if err != nil {
 		t.Fatal(err)
@@ -84,17 +85,17 @@
 	}
 	defer unix.Close()
 	for name, text := range map[string]string{
-		"a word": "five", "below 0": "-1", "too great": "99999999999", "closed": "1048575", "empty": " ",
-		"a file": fmt.Sprint(file.Fd()), "UDP": descriptor(t, udp.(*net.UDPConn)),
-		"a connection": descriptor(t, conn.(*net.TCPConn)), "a Unix socket": descriptor(t, unix.(*net.UnixListener)),
+		"not a number": "five", "negative": "-1", "too large": "99999999999", "closed": "1048575", "blank": " ",
+		"regular file": fmt.Sprint(file.Fd()), "UDP socket": dupDescriptor(t, udp.(*net.UDPConn)),
+		"TCP connection": dupDescriptor(t, conn.(*net.TCPConn)), "Unix socket": dupDescriptor(t, unix.(*net.UnixListener)),
 	} {
-		l, err := inherit(text)
+		l, err := inheritListener(text)
 		if err == nil {
-			t.Errorf("%s: taken for %v", name, l.Addr())
+			t.Errorf("%s: accepted, listening at %v", name, l.Addr())
 			continue
 		}
-		if !strings.HasPrefix(err.Error(), inheritedVar+": ") || strings.Contains(err.Error(), "\n") {
-			t.Errorf("%s: %q", name, err)
+		if !strings.HasPrefix(err.Error(), inheritedFDEnv+": ") || strings.Contains(err.Error(), "\n") {
+			t.Errorf("%s: got %q, want one line that names the variable", name, err)
 		}
 	}
 	if _, err := file.WriteString("still open"); err != nil {
--- a/cmd/wayhold/main.go
+++ b/cmd/wayhold/main.go
@@ -1,4 +1,4 @@
-// Command wayhold is one request-routing node on real sockets. ROUTER_CONFIG names its configuration.
+// Command wayhold runs one request-routing node on real sockets. ROUTER_CONFIG names its configuration file.
 package main
 
 import (
@@ -19,121 +19,127 @@
 	"cobaltward/internal/syserr"
 )
 
-// heapPart of the memory limit is the runtime's; stacks of the system and the sockets take the rest.
-const heapPart = 0.6
+// heapFraction is the share of the memory limit given to the Go runtime. System thread stacks and the sockets use the
+// rest.
+const heapFraction = 0.6
 
-// A configuration that can't be read at a signal is read again for so long, after pauses. The old address of discovery
-// closes 1.5 s after the signal, and what the new one has counts 4 s after it.
+// A configuration that can't be read at SIGHUP is read again with exponential backoff until reloadTimeout has passed.
+// The old discovery address closes 1.5 s after the signal, and the lists at the new address count from 4 s after it.
 const (
-	reloadFor       = time.Minute
-	reloadPause     = 10 * time.Millisecond
-	reloadPauseMost = time.Second
+	reloadTimeout   = time.Minute
+	firstRetryDelay = 10 * time.Millisecond
+	maxReloadDelay  = time.Second
 )
 
-// A start is tried again for so long, after pauses: nine in ten have to be ready within 10 s.
+// A failed step of the start is retried with exponential backoff until startTimeout has passed: 90% of all starts have
+// to be ready within 10 s.
 const (
-	startWithin    = 5 * time.Second
-	startPauseMost = 100 * time.Millisecond
+	startTimeout  = 5 * time.Second
+	maxStartDelay = 100 * time.Millisecond
 )
 
-// lastLinesWithin bounds how long the process waits at its end for its log to be taken.
-const lastLinesWithin = 200 * time.Millisecond
+// logFlushTimeout is how long the process waits at exit for its log lines to be written.
+const logFlushTimeout = 200 * time.Millisecond
 
 func main() {
-	signal.Ignore(syscall.SIGPIPE) // who reads the log may go; a write then fails, and that is all
-	lines := logging.NewWriter(os.Stderr)
-	slog.SetLogLoggerLevel(slog.LevelDebug) // net/http would log a line for each server's stray byte
-	slog.SetDefault(slog.New(slog.NewTextHandler(lines, nil)))
-	err := run(lines.Dropped)
+	signal.Ignore(syscall.SIGPIPE) // if the log's reader has exited, writes fail instead of ending the process
+	logWriter := logging.NewWriter(os.Stderr)
+	slog.SetLogLoggerLevel(slog.LevelDebug) // drops net/http's messages, one for each unsolicited byte from a server
+	slog.SetDefault(slog.New(slog.NewTextHandler(logWriter, nil)))
+	err := run(logWriter.Dropped)
 	if err != nil {
-		fmt.Fprintln(lines, "wayhold:", err)
+		fmt.Fprintln(logWriter, "wayhold:", err)
 	}
-	lines.Flush(lastLinesWithin)
+	logWriter.Flush(logFlushTimeout)
 	if err != nil {
 		os.Exit(1)
 	}
 }
 
-// run serves until the process is told to end; logDropped is how many log lines were never written.
+// run serves until SIGTERM or SIGINT; logDropped returns the number of log lines that were dropped.
 func run(logDropped func() int64) error {
-	// Both are handled until the process has gone: a signal that came after the handlers would end it as a crash.
-	hup := make(chan os.Signal, 1) // one more that is waiting stands for all: the file is read after it
+	// SIGHUP and SIGTERM stay handled until the process exits: without a handler, a signal that arrives during the
+	// shutdown would kill the process, which counts as a crash.
+	hup := make(chan os.Signal, 1) // one pending signal is enough: the file is read after it is received
 	signal.Notify(hup, syscall.SIGHUP)
-	var c node.Config
-	if err := atStart(func() (err error) { c, err = node.LoadConfig(os.Getenv); return err }); err != nil {
+	var config node.Config
+	if err := retryAtStart(func() (err error) { config, err = node.LoadConfig(os.Getenv); return err }); err != nil {
 		return err
 	}
-	c.LogDropped = logDropped
-	debug.SetMemoryLimit(int64(heapPart * float64(c.MemoryMB) * (1 << 20)))
-	runtime.GOMAXPROCS(int(max(1, math.Ceil(c.Cores))))
+	config.LogDropped = logDropped
+	debug.SetMemoryLimit(int64(heapFraction * float64(config.MemoryMB) * (1 << 20)))
+	runtime.GOMAXPROCS(int(max(1, math.Ceil(config.Cores))))
 	ctx, stop := context.WithCancel(context.Background())
 	defer stop()
 	term := make(chan os.Signal, 1)
 	signal.Notify(term, syscall.SIGTERM, os.Interrupt)
 	go func() { <-term; stop() }()
 	var listeners node.Listeners
-	if text := os.Getenv(inheritedVar); text != "" {
+	if fdText := os.Getenv(inheritedFDEnv); fdText != "" {
 		var err error
-		if listeners.Clients, err = inherit(text); err != nil {
+		if listeners.Clients, err = inheritListener(fdText); err != nil {
 			return err
 		}
-		c.Handover = os.Getenv("TMPDIR")
-	} else if err := listen(&listeners.Clients, c.Listen); err != nil {
+		config.Handover = os.Getenv("TMPDIR")
+	} else if err := listen(&listeners.Clients, config.Listen); err != nil {
 		return fmt.Errorf("listen: %w", err)
 	}
-	if c.Operator != "" {
-		if err := listen(&listeners.Operators, c.Operator); err != nil {
+	if config.Operator != "" {
+		if err := listen(&listeners.Operators, config.Operator); err != nil {
 			return fmt.Errorf("operator: %w", err)
 		}
 		slog.Info("listening to operators", "address", listeners.Operators.Addr())
 	}
-	slog.Info("listening", "name", c.Name, "address", listeners.Clients.Addr(), "servers", len(c.Known.Members))
-	moves, done := make(chan string, 1), make(chan struct{})
+	slog.Info("listening", "name", config.Name, "address", listeners.Clients.Addr(), "servers", len(config.Known.Members))
+	addresses, done := make(chan string, 1), make(chan struct{})
 	defer close(done)
-	go reload(hup, moves, done)
-	return node.Run(ctx, c, listeners, moves)
+	go reloadOnSignal(hup, addresses, done)
+	return node.Run(ctx, config, listeners, addresses)
 }
 
-// atStart tries again what fails by a lack that passes: a process that ends at its start has crashed.
-func atStart(try func() error) error {
-	return syserr.Retry(context.Background(), startWithin, syserr.Backoff{Initial: reloadPause, Max: startPauseMost}, try)
+// retryAtStart retries an operation that fails for a temporary reason, such as a lack of descriptors: a process that
+// exits during its start counts as crashed.
+func retryAtStart(attempt func() error) error {
+	return syserr.Retry(context.Background(), startTimeout,
+		syserr.Backoff{Initial: firstRetryDelay, Max: maxStartDelay}, attempt)
 }
 
-func listen(to *net.Listener, address string) error {
-	return atStart(func() (err error) { *to, err = net.Listen("tcp", address); return err })
+func listen(listener *net.Listener, address string) error {
+	return retryAtStart(func() (err error) { *listener, err = net.Listen("tcp", address); return err })
 }
 
-// reload reads the configuration again at each SIGHUP until done; the newest address stands in moves. A file that can't
-// be read, or isn't whole, is read again for a while: descriptors may be short just then, or its writer may not be done.
-func reload(hup <-chan os.Signal, moves chan string, done <-chan struct{}) {
-	var again <-chan time.Time // nil: nothing is left to read
-	var late time.Time
+// reloadOnSignal reads the discovery address from the configuration again at each SIGHUP until done is closed, and
+// keeps only the newest address in the channel. A file that is unreadable or incomplete is retried until reloadTimeout
+// has passed: descriptors may be short for a moment, or the file may still be being written.
+func reloadOnSignal(hup <-chan os.Signal, addresses chan string, done <-chan struct{}) {
+	var retry <-chan time.Time // nil: no retry is scheduled
+	var deadline time.Time
 	var backoff syserr.Backoff
 	for {
 		select {
 		case <-hup:
-			backoff = syserr.Backoff{Initial: reloadPause, Max: reloadPauseMost}
-			late = time.Now().Add(reloadFor)
-		case <-again:
+			backoff = syserr.Backoff{Initial: firstRetryDelay, Max: maxReloadDelay}
+			deadline = time.Now().Add(reloadTimeout)
+		case <-retry:
 		case <-done:
 			return
 		}
-		again = nil
+		retry = nil
 		addr, err := node.ReloadDiscovery(os.Getenv)
 		if err == nil {
 			select {
-			case <-moves:
+			case <-addresses:
 			default:
 			}
-			moves <- addr
+			addresses <- addr
 			continue
 		}
-		if time.Now().After(late) {
-			slog.Error("reload: keeping the old configuration for good", "err", err)
+		if time.Now().After(deadline) {
+			slog.Error("reload failed, keeping the old configuration", "err", err)
 			continue
 		}
-		pause := backoff.Next()
-		slog.Error("reload: keeping the old configuration for now", "err", err, "again_in", pause)
-		again = time.After(pause)
+		delay := backoff.Next()
+		slog.Error("reload failed, keeping the old configuration until a retry", "err", err, "again_in", delay)
+		retry = time.After(delay)
 	}
 }
--- a/cmd/wayhold/main_test.go
+++ b/cmd/wayhold/main_test.go
@@ -13,12 +13,12 @@
 	"time"
 )
 
-const long = 30 * time.Second // more than any step takes; nothing waits for it unless the test fails
+const stepTimeout = 30 * time.Second // longer than any step takes; only a failing test waits this long
 
-const someServer = `{"id":"s0","host_port":"127.0.0.1:9","phase":"up"}`
+const memberJSON = `{"id":"s0","host_port":"127.0.0.1:9","phase":"up"}`
 
-// agent is a discovery that has one server to tell of, and passes on each query.
-func agent(t *testing.T) (addr string, queries chan string) {
+// newDiscovery starts a discovery server that lists one member, and sends the query string of each call to queries.
+func newDiscovery(t *testing.T) (addr string, queries chan string) {
 	queries = make(chan string, 100)
 	s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		queries <- r.URL.RawQuery
@@ -26,7 +26,7 @@
 			<-r.Context().Done()
 			return
 		}
-		fmt.Fprintf(w, `{"revision":3,"complete":true,"members":[%s]}`, someServer)
+		fmt.Fprintf(w, `{"revision":3,"complete":true,"members":[%s]}`, memberJSON)
 	}))
 	t.Cleanup(s.Close)
 	return s.Listener.Addr().String(), queries
@@ -37,24 +37,24 @@
 	select {
 	case v := <-from:
 		return v
-	case <-time.After(long):
-		t.Fatalf("waited in vain for %s", what)
+	case <-time.After(stepTimeout):
+		t.Fatalf("timed out waiting for %s", what)
 		panic("unreachable")
 	}
 }
 
-// SIGHUP moves discovery to what the file names then, also where ROUTER_DISCOVERY said otherwise at
-// the start; a file that can't be read changes nothing; SIGTERM still ends the program in order.
+// At SIGHUP the node switches to the discovery address in the configuration file, even if ROUTER_DISCOVERY overrode it
+// at the start. An unreadable file changes nothing, and SIGTERM still ends the program cleanly.
 func TestReload(t *testing.T) {
-	first, atFirst := agent(t)
-	second, atSecond := agent(t)
-	third, atThird := agent(t)
-	free, err := net.Listen("tcp", "127.0.0.1:0")
+	first, firstQueries := newDiscovery(t)
+	second, secondQueries := newDiscovery(t)
+	third, thirdQueries := newDiscovery(t)
+	reserved, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	listen := free.Addr().String()
-	free.Close()
+	listen := reserved.Addr().String()
+	reserved.Close()
 	path := filepath.Join(t.TempDir(), "config.json")
 	write := func(text string) {
 		if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
@@ -64,7 +64,7 @@
 	config := func(discovery string) string {
 		return fmt.Sprintf(`{"name":"n","listen":%q,"discovery":%q,"seed":"1",
 			"limits":{"cores":1,"memory_mb":64,"sockets":256},"known":{"revision":1,"complete":true,"members":[%s]},
-			"settings":{"position":0,"groupSize":1,"services":[{"name":"x","deadline":600,"repeat":"free"}]}}`, listen, discovery, someServer)
+			"settings":{"position":0,"groupSize":1,"services":[{"name":"x","deadline":600,"repeat":"free"}]}}`, listen, discovery, memberJSON)
 	}
 	write(config(first))
 	t.Setenv("ROUTER_CONFIG", path)
@@ -76,40 +76,40 @@
 	}
 	ended := make(chan error, 1)
 	go func() { ended <- run(nil) }()
-	if q := receive(t, "the first call", atFirst); !strings.HasPrefix(q, "index=1&wait=") {
+	if q := receive(t, "the first call", firstQueries); !strings.HasPrefix(q, "index=1&wait=") {
 		t.Errorf("first call: %q", q)
 	}
 	write(config(second))
 	signal(syscall.SIGHUP)
-	if q := receive(t, "the call at the second address", atSecond); q != "" {
-		t.Errorf("asks for %q, not for the whole list", q)
+	if q := receive(t, "the call at the second address", secondQueries); q != "" {
+		t.Errorf("query %q, want a request for the full list", q)
 	}
-	for len(atFirst) > 0 { // called anew there before the signal, where this test was slow
-		<-atFirst
+	for len(firstQueries) > 0 { // calls made before the signal, if this test was slow
+		<-firstQueries
 	}
 	write(`{"discovery":`)
 	signal(syscall.SIGHUP)
 	write(config(third))
 	signal(syscall.SIGHUP)
 	signal(syscall.SIGHUP)
-	receive(t, "the call at the third address", atThird)
+	receive(t, "the call at the third address", thirdQueries)
 	resp, err := http.Get("http://" + listen + "/health/ready")
 	if err != nil || resp.StatusCode != http.StatusOK {
 		t.Errorf("after the reloads: %v, %v", resp, err)
 	}
 	signal(syscall.SIGTERM)
 	signal(syscall.SIGHUP) // harmless during a drain
-	if err := receive(t, "the end", ended); err != nil {
+	if err := receive(t, "the program's exit", ended); err != nil {
 		t.Error(err)
 	}
 	select {
-	case q := <-atFirst:
-		t.Errorf("the first address was called again: %q", q)
+	case q := <-firstQueries:
+		t.Errorf("the first address was called after the reload: %q", q)
 	default:
 	}
 }
 
-// An address for operators that can't be used ends the start with one line.
+// An unusable operator address ends the start with a one-line error.
 func TestUnusableOperatorAddress(t *testing.T) {
 	taken, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -126,21 +126,21 @@
 		}
 		t.Setenv("ROUTER_CONFIG", path)
 		if err := run(nil); err == nil || !strings.HasPrefix(err.Error(), want) || strings.Contains(err.Error(), "\n") {
-			t.Errorf("%s: %v, want one line that begins with %q", addr, err, want)
+			t.Errorf("%s: got %v, want a one-line error that begins with %q", addr, err, want)
 		}
 	}
 }
 
-// A configuration that can't be read as the signal comes, or is only half there, is read again until it can be: the old
-// address of discovery is about to close.
-func TestReloadIsTriedAgainUntilTheFileIsWhole(t *testing.T) {
-	first, atFirst := agent(t)
-	second, atSecond := agent(t)
+// A configuration file that is unreadable or incomplete when SIGHUP arrives is read again until it is complete: without
+// a retry, the node would lose discovery, because the old address is about to close.
+func TestReloadRetriesUntilFileIsComplete(t *testing.T) {
+	first, firstQueries := newDiscovery(t)
+	second, secondQueries := newDiscovery(t)
 	path := filepath.Join(t.TempDir(), "config.json")
 	config := func(discovery string) string {
 		return fmt.Sprintf(`{"name":"n","listen":"127.0.0.1:0","discovery":%q,"seed":"1",
 			"limits":{"cores":1,"memory_mb":64,"sockets":256},"known":{"revision":1,"complete":true,"members":[%s]},
-			"settings":{"position":0,"groupSize":1,"services":[{"name":"x","deadline":600,"repeat":"free"}]}}`, discovery, someServer)
+			"settings":{"position":0,"groupSize":1,"services":[{"name":"x","deadline":600,"repeat":"free"}]}}`, discovery, memberJSON)
 	}
 	write := func(text string) {
 		if err := os.WriteFile(path+".new", []byte(text), 0o600); err != nil {
@@ -154,35 +154,35 @@
 	t.Setenv("ROUTER_CONFIG", path)
 	ended := make(chan error, 1)
 	go func() { ended <- run(nil) }()
-	receive(t, "the first call", atFirst)
-	reads := countReads(t, path)
+	receive(t, "the first call", firstQueries)
+	reads := watchReads(t, path)
 	write(config(second)[:100])
 	if err := syscall.Kill(os.Getpid(), syscall.SIGHUP); err != nil {
 		t.Fatal(err)
 	}
-	receive(t, "a look at the half file", reads)
+	receive(t, "a read of the incomplete file", reads)
 	write(config(second))
-	receive(t, "the call at the second address", atSecond)
+	receive(t, "the call at the second address", secondQueries)
 	if err := syscall.Kill(os.Getpid(), syscall.SIGTERM); err != nil {
 		t.Fatal(err)
 	}
-	if err := receive(t, "the end", ended); err != nil {
+	if err := receive(t, "the program's exit", ended); err != nil {
 		t.Error(err)
 	}
 }
 
-// countReads tells of each time that a file in the folder of the given one is opened and closed again.
-func countReads(t *testing.T, path string) <-chan struct{} {
+// watchReads reports each time a file in the given file's directory is closed after being opened for reading.
+func watchReads(t *testing.T, path string) <-chan struct{} {
 	t.Helper()
-	watch, err := syscall.InotifyInit1(syscall.IN_CLOEXEC)
+	inotify, err := syscall.InotifyInit1(syscall.IN_CLOEXEC)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if _, err := syscall.InotifyAddWatch(watch, filepath.Dir(path), syscall.IN_CLOSE_NOWRITE); err != nil {
+	if _, err := syscall.InotifyAddWatch(inotify, filepath.Dir(path), syscall.IN_CLOSE_NOWRITE); err != nil {
 		t.Fatal(err)
 	}
 	reads := make(chan struct{}, 100)
-	f := os.NewFile(uintptr(watch), "inotify")
+	f := os.NewFile(uintptr(inotify), "inotify")
 	t.Cleanup(func() { f.Close() })
 	go func() {
 		for {
--- a/cmd/wayhold/norace_test.go
+++ b/cmd/wayhold/norace_test.go
@@ -2,4 +2,4 @@
 
 package main
 
-const raceDetector = false
+const raceEnabled = false
--- a/cmd/wayhold/process_test.go
+++ b/cmd/wayhold/process_test.go
@@ -19,48 +19,48 @@
 	"time"
 )
 
-// process is the program, with its limits on descriptors set by the system.
+// process is a running node with its descriptor limit set by ulimit.
 type process struct {
 	*exec.Cmd
 	addr, operator string
 }
 
-// startProcess runs the program with a configuration, and returns once it listens.
+// startProcess starts the program with a configuration, and returns once it listens. The rest of its log is discarded.
 func startProcess(t *testing.T, config string, sockets int, env ...string) *process {
 	t.Helper()
-	p, log := startLogged(t, config, sockets, env...)
+	p, log := startWithLog(t, config, sockets, env...)
 	go func() { _, _ = io.Copy(io.Discard, log) }()
 	return p
 }
 
-// startLogged is startProcess for a test that reads the rest of the log itself, or doesn't.
-func startLogged(t *testing.T, config string, sockets int, env ...string) (*process, *os.File) {
+// startWithLog is startProcess, but returns the rest of the log to the test, which may leave it unread.
+func startWithLog(t *testing.T, config string, sockets int, env ...string) (*process, *os.File) {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), "config.json")
 	if err := os.WriteFile(path, []byte(config), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	self, err := os.Executable()
+	executable, err := os.Executable()
 	if err != nil {
 		t.Fatal(err)
 	}
-	p := &process{Cmd: exec.Command("/bin/sh", "-c", "ulimit -n "+strconv.Itoa(sockets)+` && exec "$0"`, self)}
-	p.Env = append(append(os.Environ(), childVar+"=1", "ROUTER_CONFIG="+path), env...)
-	log, theirs, err := os.Pipe()
+	p := &process{Cmd: exec.Command("/bin/sh", "-c", "ulimit -n "+strconv.Itoa(sockets)+` && exec "$0"`, executable)}
+	p.Env = append(append(os.Environ(), childEnv+"=1", "ROUTER_CONFIG="+path), env...)
+	logReader, logWriter, err := os.Pipe()
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { log.Close() })
-	p.Stderr = theirs
+	t.Cleanup(func() { logReader.Close() })
+	p.Stderr = logWriter
 	if err := p.Start(); err != nil {
 		t.Fatal(err)
 	}
-	theirs.Close()
+	logWriter.Close()
 	t.Cleanup(func() { _ = p.Process.Kill(); _ = p.Wait() })
-	lines := bufio.NewScanner(log)
-	listens := regexp.MustCompile(`msg=(listening|"listening to operators") .*address=(\S+)`)
+	lines := bufio.NewScanner(logReader)
+	listenLine := regexp.MustCompile(`msg=(listening|"listening to operators") .*address=(\S+)`)
 	for p.addr == "" && lines.Scan() {
-		switch m := listens.FindStringSubmatch(lines.Text()); {
+		switch m := listenLine.FindStringSubmatch(lines.Text()); {
 		case m == nil:
 		case m[1] == "listening":
 			p.addr = m[2]
@@ -69,13 +69,13 @@
 		}
 	}
 	if p.addr == "" {
-		t.Fatal("the program does not say where it listens")
+		t.Fatal("the program's log has no listening address")
 	}
-	return p, log
+	return p, logReader
 }
 
-// status calls an address on a connection of its own, and returns the answer's status, or 0.
-func status(url string, headers ...string) int {
+// getStatus sends a GET request on a new connection and returns the response's status, or 0 on an error.
+func getStatus(url string, headers ...string) int {
 	req, err := http.NewRequest(http.MethodGet, url, nil)
 	if err != nil {
 		return 0
@@ -83,7 +83,7 @@
 	for i := 0; i+1 < len(headers); i += 2 {
 		req.Header.Set(headers[i], headers[i+1])
 	}
-	resp, err := (&http.Client{Transport: &http.Transport{DisableKeepAlives: true}, Timeout: long}).Do(req)
+	resp, err := (&http.Client{Transport: &http.Transport{DisableKeepAlives: true}, Timeout: stepTimeout}).Do(req)
 	if err != nil {
 		return 0
 	}
@@ -91,45 +91,47 @@
 	return resp.StatusCode
 }
 
-func await(t *testing.T, what string, ok func() bool) {
+func waitUntil(t *testing.T, what string, condition func() bool) {
 	t.Helper()
-	for end := time.Now().Add(long); !ok(); time.Sleep(2 * time.Millisecond) {
-		if time.Now().After(end) {
-			t.Fatalf("waited in vain for %s", what)
+	for deadline := time.Now().Add(stepTimeout); !condition(); time.Sleep(2 * time.Millisecond) {
+		if time.Now().After(deadline) {
+			t.Fatalf("timed out waiting for %s", what)
 		}
 	}
 }
 
-// Signals that come as the process ends don't end it as a crash, nor does a second SIGTERM, or SIGHUP after the first.
-func TestSignalsUntilTheVeryEnd(t *testing.T) {
+// SIGHUP or a second SIGTERM during the shutdown, and signals that arrive as late as the process's exit, must not kill
+// the process: that would count as a crash.
+func TestSignalsDuringShutdown(t *testing.T) {
 	p := startProcess(t, `{"name":"n","listen":"127.0.0.1:0","discovery":"127.0.0.1:9","seed":"1",
 		"limits":{"cores":1,"memory_mb":64,"sockets":256},"known":{"revision":1,"complete":true,"members":[]},
-		"settings":{"position":0,"groupSize":1,"services":[{"name":"x","deadline":600,"repeat":"free"}]}}`, 256, lateVar+"=1")
+		"settings":{"position":0,"groupSize":1,"services":[{"name":"x","deadline":600,"repeat":"free"}]}}`, 256, exitSignalsEnv+"=1")
 	for _, s := range []syscall.Signal{syscall.SIGTERM, syscall.SIGHUP, syscall.SIGTERM} {
 		if err := p.Process.Signal(s); err != nil {
 			t.Fatal(err)
 		}
 	}
 	if err := p.Wait(); err != nil {
-		t.Errorf("the program ended with %v", err)
+		t.Errorf("the program exited with %v", err)
 	}
 }
 
-// Idle and half-written clients, many more than the process may have descriptors, come while discovery is down. They
-// keep neither operators, nor the front, nor requests out, and the list is asked for and heard as discovery comes back.
-func TestIdleClientsLeaveDescriptors(t *testing.T) {
+// Four times as many idle clients and clients with incomplete requests connect as the process may have descriptors,
+// while discovery is down. The operator address, the client-facing address and requests must stay served, and the list
+// must be fetched once discovery is back.
+func TestIdleClientsDoNotExhaustDescriptors(t *testing.T) {
 	for _, mode := range []string{"subscribe", "automatic"} {
 		t.Run(mode, func(t *testing.T) {
 			server := httptest.NewServer(http.HandlerFunc(func(http.ResponseWriter, *http.Request) {}))
 			defer server.Close()
-			back, heard := atomic.Bool{}, make(chan struct{}, 1)
+			discoveryUp, updateRequested := atomic.Bool{}, make(chan struct{}, 1)
 			discovery := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-				if !back.Load() {
+				if !discoveryUp.Load() {
 					panic(http.ErrAbortHandler)
 				}
-				if r.URL.Query().Get("index") == "2" { // it has the list
+				if r.URL.Query().Get("index") == "2" { // the node has the list
 					select {
-					case heard <- struct{}{}:
+					case updateRequested <- struct{}{}:
 					default:
 					}
 					<-r.Context().Done()
@@ -148,7 +150,7 @@
 					"limits":{"connectTimeout":5000,"maxAttempts":3,"retryAfter":true},
 					"guarantees":{"drainGrace":500,"mustAskIn":10000}}}`,
 				discovery.Listener.Addr(), sockets, server.Listener.Addr(), mode), sockets)
-			await(t, "readiness", func() bool { return status("http://"+p.addr+"/health/ready") == 200 })
+			waitUntil(t, "readiness", func() bool { return getStatus("http://"+p.addr+"/health/ready") == 200 })
 			var idle []net.Conn
 			defer func() {
 				for _, c := range idle {
@@ -166,47 +168,47 @@
 				if i%50 != 49 {
 					continue
 				}
-				if got := status("http://" + p.operator + "/status"); got != 200 {
-					t.Errorf("operators get %d after %d idle clients", got, i+1)
+				if got := getStatus("http://" + p.operator + "/status"); got != 200 {
+					t.Errorf("operator address: status %d after %d idle clients", got, i+1)
 				}
-				if got := status("http://" + p.addr + "/health/ready"); got != 200 {
-					t.Errorf("the front gets %d after %d idle clients", got, i+1)
+				if got := getStatus("http://" + p.addr + "/health/ready"); got != 200 {
+					t.Errorf("client-facing address: status %d after %d idle clients", got, i+1)
 				}
-				got := status("http://"+p.addr+"/api", "X-Request-Id", fmt.Sprint("r", i), "X-Class", "x", "X-Deadline-Ms", "30000")
+				got := getStatus("http://"+p.addr+"/api", "X-Request-Id", fmt.Sprint("r", i), "X-Class", "x", "X-Deadline-Ms", "30000")
 				if got != 200 {
-					t.Errorf("a request gets %d after %d idle clients", got, i+1)
+					t.Errorf("request: status %d after %d idle clients", got, i+1)
 				}
 			}
-			back.Store(true)
-			receive(t, "a call by the list that discovery has", heard)
+			discoveryUp.Store(true)
+			receive(t, "a call for updates to the fetched list", updateRequested)
 			if files, err := os.ReadDir(fmt.Sprintf("/proc/%d/fd", p.Process.Pid)); err != nil || len(files) > sockets {
 				t.Errorf("%d descriptors are open, %v", len(files), err)
 			}
-			var word struct{ Ready bool }
+			var reply struct{ Ready bool }
 			resp, err := http.Get("http://" + p.operator + "/status")
 			if err != nil {
 				t.Fatal(err)
 			}
 			defer resp.Body.Close()
-			if err := json.NewDecoder(resp.Body).Decode(&word); err != nil || !word.Ready {
-				t.Errorf("operators are told %+v, %v", word, err)
+			if err := json.NewDecoder(resp.Body).Decode(&reply); err != nil || !reply.Ready {
+				t.Errorf("operator status is %+v, %v", reply, err)
 			}
 		})
 	}
 }
 
-// A node that knows servers from before is ready at once, and serves, whatever discovery does.
-func TestReadyWhateverDiscoveryDoes(t *testing.T) {
+// A node whose configuration lists known servers is ready as soon as it listens, and serves, however discovery fails.
+func TestReadyWhileDiscoveryFails(t *testing.T) {
 	server := httptest.NewServer(http.HandlerFunc(func(http.ResponseWriter, *http.Request) {}))
 	defer server.Close()
-	for name, does := range map[string]http.HandlerFunc{
-		"resets":    func(http.ResponseWriter, *http.Request) { panic(http.ErrAbortHandler) },
-		"is full":   func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(http.StatusServiceUnavailable) },
-		"is silent": func(_ http.ResponseWriter, r *http.Request) { <-r.Context().Done() },
-		"babbles":   func(w http.ResponseWriter, _ *http.Request) { fmt.Fprint(w, `{"revision":`) },
+	for name, handler := range map[string]http.HandlerFunc{
+		"resets connections":   func(http.ResponseWriter, *http.Request) { panic(http.ErrAbortHandler) },
+		"answers 503":          func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(http.StatusServiceUnavailable) },
+		"never answers":        func(_ http.ResponseWriter, r *http.Request) { <-r.Context().Done() },
+		"sends truncated JSON": func(w http.ResponseWriter, _ *http.Request) { fmt.Fprint(w, `{"revision":`) },
 	} {
 		t.Run(name, func(t *testing.T) {
-			discovery := httptest.NewServer(does)
+			discovery := httptest.NewServer(handler)
 			defer discovery.Close()
 			defer discovery.CloseClientConnections()
 			p := startProcess(t, fmt.Sprintf(`{"name":"n","listen":"127.0.0.1:0","discovery":%q,"seed":"1",
@@ -216,12 +218,12 @@
 					"services":[{"name":"x","aim":20000,"deadline":30000,"repeat":"free"}],
 					"limits":{"connectTimeout":5000},"guarantees":{"drainGrace":500,"mustAskIn":10000}}}`,
 				discovery.Listener.Addr(), server.Listener.Addr()), 128)
-			if got := status("http://" + p.addr + "/health/ready"); got != 200 {
-				t.Errorf("the front gets %d as soon as the node listens", got)
+			if got := getStatus("http://" + p.addr + "/health/ready"); got != 200 {
+				t.Errorf("client-facing address: status %d as soon as the node listens", got)
 			}
-			got := status("http://"+p.addr+"/api", "X-Request-Id", "r1", "X-Class", "x", "X-Deadline-Ms", "30000")
+			got := getStatus("http://"+p.addr+"/api", "X-Request-Id", "r1", "X-Class", "x", "X-Deadline-Ms", "30000")
 			if got != 200 {
-				t.Errorf("a request gets %d", got)
+				t.Errorf("request: status %d", got)
 			}
 		})
 	}
--- a/cmd/wayhold/race_test.go
+++ b/cmd/wayhold/race_test.go
@@ -2,5 +2,5 @@
 
 package main
 
-// raceDetector multiplies what a process needs.
-const raceDetector = true
+// raceEnabled reports whether the race detector is on. It multiplies a process's memory use.
+const raceEnabled = true
--- a/cmd/wayhold/scale_test.go
+++ b/cmd/wayhold/scale_test.go
@@ -21,17 +21,17 @@
 )
 
 const (
-	childVar    = "WAYHOLD_TEST_CHILD" // set where the test's binary stands in for the program
-	lateVar     = "WAYHOLD_TEST_LATE"  // set where signals come once the program has done all it does
-	many        = 1024                 // servers, and nodes, that the operators may have at least
-	leastMemory = 32                   // MB, the smallest limit in the terms
+	childEnv       = "WAYHOLD_TEST_CHILD" // set to run the program's main in the test binary
+	exitSignalsEnv = "WAYHOLD_TEST_LATE"  // set to raise signals after main has returned
+	memberCount    = 1024                 // servers and nodes that must be supported at the least
+	minMemoryMB    = 32                   // MB, the smallest memory limit that has to be supported
 )
 
 func TestMain(m *testing.M) {
-	if os.Getenv(childVar) != "" {
+	if os.Getenv(childEnv) != "" {
 		main()
-		if os.Getenv(lateVar) != "" { // as the process ends
-			runtime.LockOSThread() // one that is meant for the thread comes before the call returns
+		if os.Getenv(exitSignalsEnv) != "" { // signals during the process's exit
+			runtime.LockOSThread() // a signal sent to the calling thread is delivered before the system call returns
 			for _, s := range []syscall.Signal{syscall.SIGHUP, syscall.SIGTERM} {
 				_, _, _ = syscall.RawSyscall(syscall.SYS_TGKILL, uintptr(os.Getpid()), uintptr(syscall.Gettid()), uintptr(s))
 			}
@@ -41,22 +41,22 @@
 	os.Exit(m.Run())
 }
 
-// backends are many servers that count what they get.
+// backends is a set of servers that count their requests.
 type backends struct {
-	addrs []string
-	mu    sync.Mutex
-	got   map[string]int // by address
+	addrs         []string
+	mu            sync.Mutex
+	requestCounts map[string]int // by address
 }
 
 func newBackends(t *testing.T) *backends {
-	b := &backends{got: make(map[string]int)}
+	b := &backends{requestCounts: make(map[string]int)}
 	srv := &http.Server{Handler: http.HandlerFunc(func(_ http.ResponseWriter, r *http.Request) {
 		b.mu.Lock()
 		defer b.mu.Unlock()
-		b.got[r.Context().Value(http.LocalAddrContextKey).(net.Addr).String()]++
+		b.requestCounts[r.Context().Value(http.LocalAddrContextKey).(net.Addr).String()]++
 	})}
 	t.Cleanup(func() { srv.Close() })
-	for range many {
+	for range memberCount {
 		ln, err := net.Listen("tcp", "127.0.0.1:0")
 		if err != nil {
 			t.Fatal(err)
@@ -67,14 +67,14 @@
 	return b
 }
 
-// forget starts the counts anew.
-func (b *backends) forget() {
+// resetCounts sets all request counts to zero.
+func (b *backends) resetCounts() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	clear(b.got)
+	clear(b.requestCounts)
 }
 
-func (b *backends) entries(from, to int, phase string) string {
+func (b *backends) memberEntries(from, to int, phase string) string {
 	var all []string
 	for i := from; i < to; i++ {
 		all = append(all, fmt.Sprintf(`{"id":"s-%04d","host_port":%q,"locality":"a","flavor":"k","cell":%d,"phase":%q,"size":1.0,"up_since_ms":0}`,
@@ -83,16 +83,16 @@
 	return strings.Join(all, ",\n        ")
 }
 
-// registry is a discovery whose lists a test sets.
-type registry struct {
+// fakeDiscovery is a discovery server whose list the test sets. Calls block until the list is newer than their index.
+type fakeDiscovery struct {
 	mu       sync.Mutex
 	revision int
 	list     string
 	changed  chan struct{}
-	calls    chan int // the revisions that are asked from
+	calls    chan int // the index parameter of each call
 }
 
-func (r *registry) set(complete bool, entries string) {
+func (r *fakeDiscovery) setList(complete bool, entries string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.revision++
@@ -101,7 +101,7 @@
 	r.changed = make(chan struct{})
 }
 
-func (r *registry) ServeHTTP(w http.ResponseWriter, req *http.Request) {
+func (r *fakeDiscovery) ServeHTTP(w http.ResponseWriter, req *http.Request) {
 	index, _ := strconv.Atoi(req.URL.Query().Get("index"))
 	r.calls <- index
 	for {
@@ -120,30 +120,30 @@
 	}
 }
 
-// heard waits until the node asks for what is newer than the last list: it has taken that in.
-func (r *registry) heard(t *testing.T) {
+// awaitApplied waits until the node asks for updates to the latest list, which shows that it has applied that list.
+func (r *fakeDiscovery) awaitApplied(t *testing.T) {
 	t.Helper()
-	for r.revision != receive(t, "the next call for the list", r.calls) {
+	for r.revision != receive(t, "the next discovery call", r.calls) {
 	}
 }
 
-// A thousand servers and as many nodes are within what a node can do with the least memory that the terms
-// give it: it starts with them, serves, and follows changes, drains among them, of a quarter and of all.
-func TestManyServersAndNodesInLittleMemory(t *testing.T) {
+// With the smallest supported memory limit, a node handles a thousand servers in a group of as many nodes: it starts
+// with them, serves requests, and follows list changes, including drains, of a quarter of the servers and of all.
+func TestManyServersAndNodesInMinimumMemory(t *testing.T) {
 	servers := newBackends(t)
-	reg := &registry{revision: 1, changed: make(chan struct{}), calls: make(chan int, 1000)}
+	reg := &fakeDiscovery{revision: 1, changed: make(chan struct{}), calls: make(chan int, 1000)}
 	discovery := httptest.NewServer(reg)
 	defer discovery.Close()
 	defer discovery.CloseClientConnections()
 	var known any
-	if err := json.Unmarshal([]byte(`{"revision":1,"complete":true,"members":[`+servers.entries(0, many, "up")+`]}`), &known); err != nil {
+	if err := json.Unmarshal([]byte(`{"revision":1,"complete":true,"members":[`+servers.memberEntries(0, memberCount, "up")+`]}`), &known); err != nil {
 		t.Fatal(err)
 	}
 	var tenants []string
 	for i := range 50 {
 		tenants = append(tenants, fmt.Sprintf(`{"name":"t%d","quotaRps":1e6,"fraction":0.02}`, i))
 	}
-	list, _ := json.Marshal(known)
+	knownJSON, _ := json.Marshal(known)
 	path := filepath.Join(t.TempDir(), "config.json")
 	config := fmt.Sprintf(`{"name":"n","listen":"127.0.0.1:0","discovery":%q,"seed":"1",
 		"limits":{"cores":1,"memory_mb":%d,"sockets":256},"known":%s,
@@ -151,16 +151,16 @@
 			"services":[{"name":"x","aim":20000,"deadline":30000,"repeat":"free"}],
 			"limits":{"connectTimeout":5000,"maxAttempts":3,"retryAfter":true},
 			"guarantees":{"drainGrace":500,"cold":1000,"coldShare":0.5,"fallMultiple":3,"overloadFor":1000}}}`,
-		discovery.Listener.Addr(), leastMemory, list, many-1, many, strings.Join(tenants, ","))
+		discovery.Listener.Addr(), minMemoryMB, knownJSON, memberCount-1, memberCount, strings.Join(tenants, ","))
 	if err := os.WriteFile(path, []byte(config), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	self, err := os.Executable()
+	executable, err := os.Executable()
 	if err != nil {
 		t.Fatal(err)
 	}
-	node := exec.Command(self)
-	node.Env = append(os.Environ(), childVar+"=1", "ROUTER_CONFIG="+path)
+	node := exec.Command(executable)
+	node.Env = append(os.Environ(), childEnv+"=1", "ROUTER_CONFIG="+path)
 	log, err := node.StderrPipe()
 	if err != nil {
 		t.Fatal(err)
@@ -171,14 +171,14 @@
 	defer func() { _ = node.Process.Kill(); _ = node.Wait() }()
 	addr, lines := "", bufio.NewScanner(log)
 	lines.Buffer(nil, 1<<20)
-	for listens := regexp.MustCompile(`msg=listening .*address=(\S+) servers=1024`); addr == "" && lines.Scan(); {
-		if m := listens.FindStringSubmatch(lines.Text()); m != nil {
+	for listenLine := regexp.MustCompile(`msg=listening .*address=(\S+) servers=1024`); addr == "" && lines.Scan(); {
+		if m := listenLine.FindStringSubmatch(lines.Text()); m != nil {
 			addr = m[1]
 		}
 	}
 	go func() { _, _ = io.Copy(io.Discard, log) }()
 	if addr == "" {
-		t.Fatal("the node does not say where it listens")
+		t.Fatal("the node's log has no listening address")
 	}
 	get := func(path, id string) int {
 		req, err := http.NewRequest("GET", "http://"+addr+path, nil)
@@ -197,9 +197,9 @@
 		_, _ = io.Copy(io.Discard, resp.Body)
 		return resp.StatusCode
 	}
-	serve := func(round string) {
+	sendRound := func(round string) {
 		t.Helper()
-		servers.forget()
+		servers.resetCounts()
 		var clients sync.WaitGroup
 		for c := range 20 {
 			clients.Go(func() {
@@ -214,37 +214,37 @@
 	}
 	for get("/health/ready", "0") != 200 {
 	}
-	reg.heard(t)
-	serve("start")
+	reg.awaitApplied(t)
+	sendRound("start")
 
-	quarter := many / 4
-	reg.set(false, servers.entries(0, quarter, "draining"))
-	reg.heard(t)
-	serve("drain")
+	quarter := memberCount / 4
+	reg.setList(false, servers.memberEntries(0, quarter, "draining"))
+	reg.awaitApplied(t)
+	sendRound("drain")
 	for i := range quarter {
-		if n := servers.got[servers.addrs[i]]; n > 0 {
+		if n := servers.requestCounts[servers.addrs[i]]; n > 0 {
 			t.Errorf("draining server %d got %d requests", i, n)
 		}
 	}
-	reg.set(true, servers.entries(many/2, many, "up"))
-	reg.heard(t)
-	serve("removal")
-	for i := range many / 2 {
-		if n := servers.got[servers.addrs[i]]; n > 0 {
+	reg.setList(true, servers.memberEntries(memberCount/2, memberCount, "up"))
+	reg.awaitApplied(t)
+	sendRound("removal")
+	for i := range memberCount / 2 {
+		if n := servers.requestCounts[servers.addrs[i]]; n > 0 {
 			t.Errorf("removed server %d got %d requests", i, n)
 		}
 	}
 	for range 20 {
-		reg.set(true, servers.entries(0, many, "up"))
-		reg.heard(t)
-		reg.set(false, servers.entries(0, many, "removed"))
-		reg.heard(t)
+		reg.setList(true, servers.memberEntries(0, memberCount, "up"))
+		reg.awaitApplied(t)
+		reg.setList(false, servers.memberEntries(0, memberCount, "removed"))
+		reg.awaitApplied(t)
 	}
-	reg.set(true, servers.entries(0, many, "up"))
-	reg.heard(t)
-	serve("return")
-	if len(servers.got) < 2 {
-		t.Errorf("only %d servers are used", len(servers.got))
+	reg.setList(true, servers.memberEntries(0, memberCount, "up"))
+	reg.awaitApplied(t)
+	sendRound("return")
+	if len(servers.requestCounts) < 2 {
+		t.Errorf("only %d servers received requests", len(servers.requestCounts))
 	}
 
 	status, err := os.ReadFile(fmt.Sprintf("/proc/%d/status", node.Process.Pid))
@@ -254,12 +254,12 @@
 	peak := regexp.MustCompile(`VmHWM:\s+(\d+) kB`).FindSubmatch(status)
 	threads := regexp.MustCompile(`Threads:\s+(\d+)`).FindSubmatch(status)
 	if peak == nil || threads == nil {
-		t.Fatalf("no figures in %s", status)
+		t.Fatalf("no VmHWM or Threads line in %s", status)
 	}
 	kB, _ := strconv.Atoi(string(peak[1]))
-	t.Logf("at its peak the node has %d kB, with %s threads", kB, threads[1])
-	if kB > leastMemory<<10 && !raceDetector {
-		t.Errorf("at its peak the node has %d kB, want at most %d MB", kB, leastMemory)
+	t.Logf("peak memory %d kB, %s threads", kB, threads[1])
+	if kB > minMemoryMB<<10 && !raceEnabled {
+		t.Errorf("peak memory %d kB, want at most %d MB", kB, minMemoryMB)
 	}
 	if err := node.Process.Signal(syscall.SIGTERM); err != nil {
 		t.Fatal(err)
--- a/internal/scale/hollow.go
+++ b/internal/scale/hollow.go
@@ -20,61 +20,61 @@
 	"cobaltward/internal/node"
 )
 
-// revisionAt says that a list of this revision was in force, or had been made, at that Unix time in nanoseconds.
-type revisionAt struct{ Revision, At int64 }
+// revisionTime is a revision of the list and the Unix time in nanoseconds at which it came into force or was made.
+type revisionTime struct{ Revision, At int64 }
 
-// logPrecision is that of the times in a node's log, which are rounded down.
+// logPrecision is the precision of the times in a node's log, which are rounded down.
 const logPrecision = time.Millisecond
 
-// sightings are the lists in force at one node, one after the other, over all its starts.
-type sightings struct {
-	mu  sync.Mutex
-	all []revisionAt
+// revisionHistory holds the revisions that were in force at one node, in order of time, across its restarts.
+type revisionHistory struct {
+	mu      sync.Mutex
+	entries []revisionTime
 }
 
-func (s *sightings) add(r revisionAt) {
+func (s *revisionHistory) add(r revisionTime) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.all = append(s.all, r)
+	s.entries = append(s.entries, r)
 }
 
-func (s *sightings) count() int {
+func (s *revisionHistory) count() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return len(s.all)
+	return len(s.entries)
 }
 
-// last is the newest revision in force; 0 before the first.
-func (s *sightings) last() int64 {
+// last returns the revision that came into force last, or 0 if there is none yet.
+func (s *revisionHistory) lastRevision() int64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if len(s.all) == 0 {
+	if len(s.entries) == 0 {
 		return 0
 	}
-	return s.all[len(s.all)-1].Revision
+	return s.entries[len(s.entries)-1].Revision
 }
 
-// delays records, in microseconds, how long each change took to be in force here, and returns how many never
-// were. Both changes and sightings are in the order of their times.
-func (s *sightings) delays(changes []revisionAt, h *hdrhistogram.Histogram) (never int64) {
+// recordDelays records, in microseconds, how long each change took to be in force at the node, and returns how many
+// changes never were. Both changes and the history are in order of time.
+func (s *revisionHistory) recordDelays(changes []revisionTime, h *hdrhistogram.Histogram) (notInForce int64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	from := 0
 	for _, c := range changes {
-		for from < len(s.all) && s.all[from].At < c.At-int64(logPrecision) {
+		for from < len(s.entries) && s.entries[from].At < c.At-int64(logPrecision) {
 			from++
 		}
-		i := slices.IndexFunc(s.all[from:], func(r revisionAt) bool { return r.Revision >= c.Revision })
+		i := slices.IndexFunc(s.entries[from:], func(r revisionTime) bool { return r.Revision >= c.Revision })
 		if i < 0 {
-			never++
+			notInForce++
 			continue
 		}
-		record(h, max(0, s.all[from+i].At-c.At)/int64(time.Microsecond))
+		record(h, max(0, s.entries[from+i].At-c.At)/int64(time.Microsecond))
 	}
-	return never
+	return notInForce
 }
 
-// HollowArgs says which nodes a process holds: Count of them from First on, in one world.
+// HollowArgs tells a process which hollow nodes to run: Count nodes of the world, beginning with number First.
 type HollowArgs struct {
 	Step         Step
 	Seed         uint64
@@ -84,75 +84,77 @@
 	MemoryMB     int
 }
 
-// HollowCost is what a process of hollow nodes has spent and holds.
+// HollowCost is the resource use of a process that runs hollow nodes.
 type HollowCost struct {
-	CPU   time.Duration // of the process
-	Log   int64         // bytes
-	Heap  int64         // bytes after a collection, less those before the nodes
-	RSS   int64         // bytes, less those before the nodes
-	Ready int           // nodes at which a list is in force that isn't older than asked for
+	CPU   time.Duration // CPU time of the process
+	Log   int64         // bytes logged
+	Heap  int64         // heap after a garbage collection, less the heap before the nodes were started, in bytes
+	RSS   int64         // resident memory, less that before the nodes were started, in bytes
+	Ready int           // number of nodes with a list of the requested revision or a later one in force
 }
 
-// DelaysReply is how long changes took to be in force, for each node and change.
+// DelaysReply tells how long changes took to be in force, over all pairs of a node and a change.
 type DelaysReply struct {
-	Delays []byte // an encoded histogram, in microseconds
-	Never  int64
+	Delays []byte // encoded histogram, in microseconds
+	Never  int64  // number of pairs where the change never was in force
 }
 
-// hollowService holds hollow nodes. They share the settings and the known list, and so these count as there
-// before the nodes.
+// hollowService runs hollow nodes in this process and answers the parent's calls. The nodes share the settings and
+// the known list, so the memory of these counts as used before the nodes were started.
 type hollowService struct {
-	log       atomic.Int64
-	mu        sync.Mutex
-	nodes     []*hollowNode
-	heap, rss int64 // before the nodes
+	logBytes          atomic.Int64
+	mu                sync.Mutex
+	nodes             []*hollowNode
+	baseHeap, baseRSS int64 // bytes before the nodes were started
 }
 
+// hollowNode is a node without client sockets, across its restarts.
 type hollowNode struct {
-	config node.Config
-	seen   sightings
-	stop   context.CancelFunc
-	ended  chan struct{}
+	config  node.Config
+	history revisionHistory
+	stop    context.CancelFunc
+	ended   chan struct{}
 }
 
+// newHollowService replaces the default logger by one that only counts the bytes logged.
 func newHollowService() *hollowService {
 	s := &hollowService{}
-	slog.SetDefault(slog.New(slog.NewTextHandler(counter{io.Discard, &s.log}, nil)))
+	slog.SetDefault(slog.New(slog.NewTextHandler(countingWriter{io.Discard, &s.logBytes}, nil)))
 	return s
 }
 
-// counter counts the bytes that are written.
-type counter struct {
+// countingWriter counts the bytes written to it.
+type countingWriter struct {
 	io.Writer
-	n *atomic.Int64
+	total *atomic.Int64
 }
 
-func (c counter) Write(p []byte) (int, error) {
-	c.n.Add(int64(len(p)))
+func (c countingWriter) Write(p []byte) (int, error) {
+	c.total.Add(int64(len(p)))
 	return c.Writer.Write(p)
 }
 
 // Start parses the configuration and starts the nodes.
-func (s *hollowService) Start(a HollowArgs, _ *struct{}) error {
-	w := NewWorld(a.Step, a.Seed, a.Port)
-	raw, err := w.Config(a.First, "127.0.0.1:1", a.Discovery, a.MemoryMB)
+func (s *hollowService) Start(args HollowArgs, _ *struct{}) error {
+	world := NewWorld(args.Step, args.Seed, args.Port)
+	raw, err := world.Config(args.First, "127.0.0.1:1", args.Discovery, args.MemoryMB)
 	if err != nil {
 		return err
 	}
-	c, err := node.ParseConfig(raw)
+	config, err := node.ParseConfig(raw)
 	if err != nil {
 		return err
 	}
-	w, raw = nil, nil
-	s.heap, s.rss = heapAndRSS()
+	world, raw = nil, nil
+	s.baseHeap, s.baseRSS = heapAndRSS()
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	for i := a.First; i < a.First+a.Count; i++ {
-		n := &hollowNode{config: c}
-		n.config.Name, n.config.Seed = fmt.Sprint("n", i), a.Seed+uint64(i)
-		n.config.Settings.Node, n.config.Settings.Zone = i, zoneName(i%a.Step.Zones)
-		s.nodes = append(s.nodes, n)
-		n.start()
+	for i := args.First; i < args.First+args.Count; i++ {
+		hollow := &hollowNode{config: config}
+		hollow.config.Name, hollow.config.Seed = fmt.Sprint("n", i), args.Seed+uint64(i)
+		hollow.config.Settings.Node, hollow.config.Settings.Zone = i, zoneName(i%args.Step.Zones)
+		s.nodes = append(s.nodes, hollow)
+		hollow.start()
 	}
 	return nil
 }
@@ -164,7 +166,7 @@
 	go func() {
 		defer close(ended)
 		err := node.RunHollow(ctx, n.config, func(revision int64, at time.Time) {
-			n.seen.add(revisionAt{revision, at.UnixNano()})
+			n.history.add(revisionTime{revision, at.UnixNano()})
 		})
 		if err != nil && ctx.Err() == nil {
 			slog.New(slog.NewTextHandler(os.Stderr, nil)).Error("hollow node", "name", n.config.Name, "err", err)
@@ -172,60 +174,62 @@
 	}()
 }
 
-// Restart ends the first part of the nodes, all at once, and starts them anew.
-func (s *hollowService) Restart(part float64, _ *struct{}) error {
+// Restart stops the given fraction of the nodes, the first ones, at the same time, and starts them again.
+func (s *hollowService) Restart(fraction float64, _ *struct{}) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	some := s.nodes[:wave(part, len(s.nodes))]
-	for _, n := range some {
+	restarted := s.nodes[:waveSize(fraction, len(s.nodes))]
+	for _, n := range restarted {
 		n.stop()
 	}
-	for _, n := range some {
+	for _, n := range restarted {
 		<-n.ended
 		n.start()
 	}
 	return nil
 }
 
-// Cost tells what the nodes have cost so far; Ready counts those at revision or later.
-func (s *hollowService) Cost(revision int64, c *HollowCost) error {
+// Cost reports the CPU time and the bytes logged so far. Ready counts the nodes that have a list of the given revision
+// or a later one in force.
+func (s *hollowService) Cost(revision int64, cost *HollowCost) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	c.CPU, c.Log = ownCPU(), s.log.Load()
+	cost.CPU, cost.Log = ownCPU(), s.logBytes.Load()
 	for _, n := range s.nodes {
-		if n.seen.count() > 0 && n.seen.last() >= revision {
-			c.Ready++
+		if n.history.count() > 0 && n.history.lastRevision() >= revision {
+			cost.Ready++
 		}
 	}
 	return nil
 }
 
-// Memory tells what the nodes hold by now, beyond what was there before them.
-func (s *hollowService) Memory(_ struct{}, c *HollowCost) error {
+// Memory reports how much the process's memory has grown since before the nodes were started.
+func (s *hollowService) Memory(_ struct{}, cost *HollowCost) error {
 	rss, err := memoryOf(os.Getpid(), "VmRSS")
 	if err != nil {
 		return err
 	}
 	heap, _ := heapAndRSS()
-	c.Heap, c.RSS = heap-s.heap, rss-s.rss
+	cost.Heap, cost.RSS = heap-s.baseHeap, rss-s.baseRSS
 	return nil
 }
 
-// Delays tells how long the changes took to be in force at the nodes.
-func (s *hollowService) Delays(changes []revisionAt, r *DelaysReply) (err error) {
+// Delays reports how long the changes took to be in force at the nodes.
+func (s *hollowService) Delays(changes []revisionTime, reply *DelaysReply) (err error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	h := histogram()
 	for _, n := range s.nodes {
-		r.Never += n.seen.delays(changes, h)
+		reply.Never += n.history.recordDelays(changes, h)
 	}
-	r.Delays, err = h.Encode(hdrhistogram.V2CompressedEncodingCookieBase)
+	reply.Delays, err = h.Encode(hdrhistogram.V2CompressedEncodingCookieBase)
 	return err
 }
 
-// heapAndRSS collects garbage, hands the memory back, and returns what is left in bytes.
+// heapAndRSS collects garbage, returns free memory to the operating system, and returns the sizes that remain, in
+// bytes.
 func heapAndRSS() (heap, rss int64) {
-	runtime.GC() // what pools and finalizers keep goes with the second
+	runtime.GC() // FreeOSMemory collects again, which frees what pools and finalizers keep through the first collection
 	debug.FreeOSMemory()
 	var m runtime.MemStats
 	runtime.ReadMemStats(&m)
@@ -233,15 +237,16 @@
 	return int64(m.HeapAlloc), rss
 }
 
-// wave is how many of n nodes a part of them is: one at least, where there is a part.
-func wave(part float64, n int) int {
-	if part <= 0 {
+// waveSize returns how many of n nodes a restart wave of the given fraction restarts: at least one if the fraction is
+// above 0 and there are nodes.
+func waveSize(fraction float64, n int) int {
+	if fraction <= 0 {
 		return 0
 	}
-	return min(n, max(1, int(part*float64(n)+0.5)))
+	return min(n, max(1, int(fraction*float64(n)+0.5)))
 }
 
-// RegistryArgs starts discovery's stand-in.
+// RegistryArgs are the parameters of the stand-in for discovery.
 type RegistryArgs struct {
 	Step      Step
 	Seed      uint64
@@ -249,129 +254,132 @@
 	Listeners int
 }
 
-// ChangeArgs has the list changed at even intervals for a time.
+// ChangeArgs asks for changes of the list at even intervals over a period.
 type ChangeArgs struct {
-	Rate float64 // a second
+	Rate float64 // changes per second
 	For  time.Duration
 }
 
+// count returns the number of changes.
 func (a ChangeArgs) count() int { return int(a.Rate * a.For.Seconds()) }
 
-// registryService is discovery's stand-in, and makes the changes.
+// registryService runs the stand-in for discovery, changes its list, and answers the parent's calls.
 type registryService struct {
-	mu      sync.Mutex
-	world   *World
-	reg     *Registry
-	rng     *rand.Rand
-	changes []revisionAt
-}
-
-// Start answers with the addresses of the listeners.
-func (s *registryService) Start(a RegistryArgs, addresses *[]string) (err error) {
-	s.world = NewWorld(a.Step, a.Seed, a.Port)
-	s.rng = rand.New(rand.NewPCG(a.Seed, 1))
-	s.reg, err = StartRegistry(RegistryConfig{Listeners: a.Listeners, Plan: a.Step.Discovery, Members: s.world.Members()})
+	mu       sync.Mutex
+	world    *World
+	registry *Registry
+	rng      *rand.Rand
+	changes  []revisionTime
+}
+
+// Start starts the stand-in and returns the addresses of its listeners.
+func (s *registryService) Start(args RegistryArgs, addresses *[]string) (err error) {
+	s.world = NewWorld(args.Step, args.Seed, args.Port)
+	s.rng = rand.New(rand.NewPCG(args.Seed, 1))
+	s.registry, err = StartRegistry(RegistryConfig{Listeners: args.Listeners, Plan: args.Step.Discovery,
+		Members: s.world.Members()})
 	if err != nil {
 		return err
 	}
-	*addresses = s.reg.Addresses()
+	*addresses = s.registry.Addresses()
 	return nil
 }
 
-// ChangeFor answers at once, and makes the changes beside other calls.
-func (s *registryService) ChangeFor(a ChangeArgs, _ *struct{}) error {
+// ChangeFor returns at once and makes the changes in the background.
+func (s *registryService) ChangeFor(args ChangeArgs, _ *struct{}) error {
 	go func() {
 		begin := time.Now()
-		for i := range a.count() {
-			time.Sleep(time.Until(begin.Add(time.Duration((float64(i) + 0.5) / a.Rate * float64(time.Second)))))
-			s.change(func() []Entry { return s.world.NextChange(s.rng) })
+		for i := range args.count() {
+			time.Sleep(time.Until(begin.Add(time.Duration((float64(i) + 0.5) / args.Rate * float64(time.Second)))))
+			s.applyChange(func() []Entry { return s.world.NextChange(s.rng) })
 		}
 	}()
 	return nil
 }
 
-// change makes one change of what next returns.
-func (s *registryService) change(next func() []Entry) {
+// applyChange applies the entries that next returns to the list as one change, and records it.
+func (s *registryService) applyChange(next func() []Entry) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	revision, at := s.reg.Change(next())
-	s.changes = append(s.changes, revisionAt{revision, at.UnixNano()})
+	revision, at := s.registry.Change(next())
+	s.changes = append(s.changes, revisionTime{revision, at.UnixNano()})
 }
 
-// Changes answers with the changes made since the start.
-func (s *registryService) Changes(_ struct{}, all *[]revisionAt) error {
+// Changes returns the changes made since the start, in order of time.
+func (s *registryService) Changes(_ struct{}, all *[]revisionTime) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	*all = slices.SortedStableFunc(slices.Values(s.changes), func(a, b revisionAt) int { return cmp.Compare(a.At, b.At) })
+	*all = slices.SortedStableFunc(slices.Values(s.changes), func(a, b revisionTime) int { return cmp.Compare(a.At, b.At) })
 	return nil
 }
 
-// RegistryCost is what discovery's stand-in has spent and sent.
+// RegistryCost is the resource use of the stand-in for discovery.
 type RegistryCost struct {
-	CPU   time.Duration // of the process
+	CPU   time.Duration // CPU time of the process
 	Stats []RegistryStats
 }
 
-// Cost answers with a set of figures for each listener.
-func (s *registryService) Cost(_ struct{}, c *RegistryCost) error {
-	c.CPU, c.Stats = ownCPU(), s.reg.Stats()
+// Cost reports the CPU time of the process and the totals of each listener.
+func (s *registryService) Cost(_ struct{}, cost *RegistryCost) error {
+	cost.CPU, cost.Stats = ownCPU(), s.registry.Stats()
 	return nil
 }
 
-// Fail carries out a fault of discovery, or a zone's loss: that takes until it is back, and answers with how many
-// changes it made.
-func (s *registryService) Fail(f Fault, changes *int) error {
-	switch f.Kind {
+// Fail starts a fault of discovery and returns at once, or carries out the loss of a zone and returns once the zone is
+// back, with the number of changes that this made.
+func (s *registryService) Fail(fault Fault, changes *int) error {
+	switch fault.Kind {
 	case ZoneLost:
 		begin := time.Now()
-		*changes = s.moveZone(begin, f.Over.Duration, s.world.loseLastZone)
-		*changes += s.moveZone(begin.Add(f.For.Duration), f.Over.Duration, s.world.restoreLastZone)
+		*changes = s.applyZoneChanges(begin, fault.Over.Duration, s.world.removeLastZone)
+		*changes += s.applyZoneChanges(begin.Add(fault.For.Duration), fault.Over.Duration, s.world.restoreLastZone)
 	case DiscoverySilent:
-		go s.reg.Silence(f.For.Duration)
+		go s.registry.Silence(fault.For.Duration)
 	case DiscoveryGone:
-		go s.reg.Gone(f.For.Duration)
+		go s.registry.TakeDown(fault.For.Duration)
 	}
 	return nil
 }
 
-// moveZone makes each entry that step returns a change, evenly over a time; or all of them one change. It returns
-// how many changes it made.
-func (s *registryService) moveZone(begin time.Time, over time.Duration, step func(i int) []Entry) int {
+// applyZoneChanges changes the entries of the last zone one by one, at even intervals over the given duration, or all
+// of them in one change if the duration is 0. It returns the number of changes made.
+func (s *registryService) applyZoneChanges(begin time.Time, duration time.Duration, change func(i int) []Entry) int {
 	n := 1
-	if over > 0 {
+	if duration > 0 {
 		n = s.world.lastZoneSize()
 	}
 	for i := range n {
-		time.Sleep(time.Until(begin.Add(over * time.Duration(i) / time.Duration(n))))
-		s.change(func() []Entry {
-			if over > 0 {
-				return step(i)
+		time.Sleep(time.Until(begin.Add(duration * time.Duration(i) / time.Duration(n))))
+		s.applyChange(func() []Entry {
+			if duration > 0 {
+				return change(i)
 			}
-			return step(-1)
+			return change(-1)
 		})
 	}
 	return n
 }
 
-// TranscribersArgs starts the stand-ins for transcribers.
+// TranscribersArgs are the parameters of the stand-ins for transcribers.
 type TranscribersArgs struct {
 	Step Step
 	Seed uint64
 	Port int
-	Work time.Duration
+	Work time.Duration // mean time that a request takes
 }
 
-type transcribersService struct{ all *Transcribers }
+// transcribersService runs the stand-ins for transcribers and answers the parent's calls.
+type transcribersService struct{ transcribers *Transcribers }
 
-// Start has the transcribers of the list listen.
-func (s *transcribersService) Start(a TranscribersArgs, _ *struct{}) (err error) {
-	w := NewWorld(a.Step, a.Seed, a.Port)
-	s.all, err = StartTranscribers(TranscribersConfig{Members: w.Members(), Work: a.Work, Seed: a.Seed})
+// Start starts the stand-ins for all transcribers in the list.
+func (s *transcribersService) Start(args TranscribersArgs, _ *struct{}) (err error) {
+	world := NewWorld(args.Step, args.Seed, args.Port)
+	s.transcribers, err = StartTranscribers(TranscribersConfig{Members: world.Members(), MeanProcessingTime: args.Work, Seed: args.Seed})
 	return err
 }
 
-// Stats answers with their figures.
-func (s *transcribersService) Stats(_ struct{}, st *TranscriberStats) error {
-	*st = s.all.Stats()
+// Stats returns the totals of the stand-ins.
+func (s *transcribersService) Stats(_ struct{}, stats *TranscriberStats) error {
+	*stats = s.transcribers.Stats()
 	return nil
 }
--- a/internal/scale/load.go
+++ b/internal/scale/load.go
@@ -15,32 +15,33 @@
 )
 
 const (
-	clientSlack  = time.Second // that a client waits beyond its deadline, so that late answers show
-	maxAnswer    = 64 << 10    // bytes
-	clientsIdle  = 1024        // connections kept to a node
-	pickedAtOnce = 1 << 32     // request ids of a run begin with its seed
+	clientTimeoutMargin = time.Second // time that a client waits beyond its deadline, so that late responses are counted
+	maxResponseBody     = 64 << 10    // bytes
+	maxIdleConns        = 1024        // idle connections kept to a node
+	requestIDModulus    = 1 << 32     // a request ID is the seed followed by a counter below this
 )
 
-// load is what clients have seen.
-type load struct {
-	mu    sync.Mutex
-	sum   LoadResult
-	added *hdrhistogram.Histogram // microseconds
+// loadGenerator sends requests to nodes and collects their results.
+type loadGenerator struct {
+	mu           sync.Mutex
+	result       LoadResult
+	addedLatency *hdrhistogram.Histogram // microseconds
 }
 
-// loadNode sends requests to one node for a time: Poisson arrivals that don't wait for answers, each over a
-// connection that no other uses meanwhile. It returns once all have been answered or given up.
-func (l *load) loadNode(ctx context.Context, listen string, pick func(*rand.Rand) (class, tenant string),
-	deadlines map[string]time.Duration, rate float64, span time.Duration, seed uint64) {
+// sendRequests sends requests to one node for the given duration, with Poisson arrivals at the given rate that don't
+// wait for earlier responses. No two requests share a connection at the same time. It returns once every request has
+// its response or has failed.
+func (l *loadGenerator) sendRequests(ctx context.Context, listen string, draw func(*rand.Rand) (class, tenant string),
+	deadlines map[string]time.Duration, rate float64, duration time.Duration, seed uint64) {
 	rng := rand.New(rand.NewPCG(seed, 2))
-	transport := &http.Transport{MaxIdleConnsPerHost: clientsIdle, DisableCompression: true}
+	transport := &http.Transport{MaxIdleConnsPerHost: maxIdleConns, DisableCompression: true}
 	defer transport.CloseIdleConnections()
-	var open sync.WaitGroup
-	defer open.Wait()
-	begin, n := time.Now(), uint64(0)
-	for at := begin; ; n++ {
+	var pending sync.WaitGroup
+	defer pending.Wait()
+	began, n := time.Now(), uint64(0)
+	for at := began; ; n++ {
 		at = at.Add(time.Duration(rng.ExpFloat64() / rate * float64(time.Second)))
-		if at.Sub(begin) >= span {
+		if at.Sub(began) >= duration {
 			return
 		}
 		select {
@@ -48,56 +49,62 @@
 		case <-ctx.Done():
 			return
 		}
-		class, tenant := pick(rng)
-		r, err := http.NewRequest(http.MethodGet, "http://"+listen+"/api", nil)
+		class, tenant := draw(rng)
+		request, err := http.NewRequest(http.MethodGet, "http://"+listen+"/api", nil)
 		if err != nil {
 			return
 		}
-		r.Header.Set("X-Request-Id", fmt.Sprintf("%016x%08x", seed, n%pickedAtOnce))
-		r.Header.Set("X-Class", class)
-		r.Header.Set("X-Tenant", tenant)
-		r.Header.Set("X-Deadline-Ms", strconv.FormatInt(deadlines[class].Milliseconds(), 10))
-		open.Go(func() { l.send(ctx, transport, r, at, deadlines[class]+clientSlack) })
+		request.Header.Set("X-Request-Id", fmt.Sprintf("%016x%08x", seed, n%requestIDModulus))
+		request.Header.Set("X-Class", class)
+		request.Header.Set("X-Tenant", tenant)
+		request.Header.Set("X-Deadline-Ms", strconv.FormatInt(deadlines[class].Milliseconds(), 10))
+		pending.Go(func() { l.send(ctx, transport, request, at, deadlines[class]+clientTimeoutMargin) })
 	}
 }
 
-func (l *load) send(ctx context.Context, transport *http.Transport, r *http.Request, planned time.Time, limit time.Duration) {
+// send makes one request and counts its result. Latency is measured from the planned time of sending, so that a
+// delay in sending counts too.
+func (l *loadGenerator) send(ctx context.Context, transport *http.Transport, request *http.Request,
+	planned time.Time, limit time.Duration) {
 	ctx, cancel := context.WithDeadline(ctx, planned.Add(limit))
 	defer cancel()
-	status, held, err := l.exchange(transport, r.WithContext(ctx))
+	status, held, err := l.exchange(transport, request.WithContext(ctx))
 	took := time.Since(planned)
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.sum.Sent++
+	l.result.Sent++
 	switch {
 	case err != nil:
-		l.sum.Failed++
+		l.result.Failed++
 	case status == http.StatusOK:
-		l.sum.Served++
-		record(l.added, (took - held).Microseconds())
+		l.result.Served++
+		record(l.addedLatency, (took - held).Microseconds())
 	case status == http.StatusTooManyRequests || status == http.StatusServiceUnavailable:
-		l.sum.Refused++
+		l.result.Refused++
 	default:
-		l.sum.Failed++
+		l.result.Failed++
 	}
 }
 
-// exchange returns the answer's status, and how long the transcriber had the request.
-func (l *load) exchange(transport *http.Transport, r *http.Request) (status int, held time.Duration, err error) {
-	answer, err := transport.RoundTrip(r)
+// exchange makes the request and returns the response's status and, if that is 200, how long the transcriber had held
+// the request.
+func (l *loadGenerator) exchange(transport *http.Transport, request *http.Request) (
+	status int, held time.Duration, err error,
+) {
+	response, err := transport.RoundTrip(request)
 	if err != nil {
 		return 0, 0, err
 	}
-	defer answer.Body.Close()
-	body, err := io.ReadAll(io.LimitReader(answer.Body, maxAnswer))
-	if err != nil || answer.StatusCode != http.StatusOK {
-		return answer.StatusCode, 0, err
+	defer response.Body.Close()
+	body, err := io.ReadAll(io.LimitReader(response.Body, maxResponseBody))
+	if err != nil || response.StatusCode != http.StatusOK {
+		return response.StatusCode, 0, err
 	}
-	var told struct {
+	var content struct {
 		Held *int64 `json:"held_us"`
 	}
-	if err := json.Unmarshal(body, &told); err != nil || told.Held == nil {
+	if err := json.Unmarshal(body, &content); err != nil || content.Held == nil {
 		return 0, 0, fmt.Errorf("answer without held_us: %.80q", body)
 	}
-	return answer.StatusCode, time.Duration(*told.Held) * time.Microsecond, nil
+	return response.StatusCode, time.Duration(*content.Held) * time.Microsecond, nil
 }
--- a/internal/scale/module.go
+++ b/internal/scale/module.go
@@ -165,7 +165,7 @@
 	})
 	requests, admitted, asked := make([]policy.Request, moduleMost), 0, 0
 	for i := range requests {
-		class, tenant := w.Request(rng)
+		class, tenant := w.DrawRequest(rng)
 		requests[i] = policy.Request{ID: strconv.Itoa(i), Class: class, Tenant: tenant, ExpiresIn: time.Second}
 	}
 	res.Request = timeOps(ctx, moduleMost, func(i int) {
--- a/internal/scale/real.go
+++ b/internal/scale/real.go
@@ -29,8 +29,8 @@
 type realNode struct {
 	program, config, listen string
 
-	seen sightings
-	log  atomic.Int64 // bytes written so far
+	history revisionHistory
+	log     atomic.Int64 // bytes written so far
 
 	mu       sync.Mutex
 	cmd      *exec.Cmd
@@ -76,7 +76,7 @@
 		line, err := r.ReadSlice('\n')
 		n.log.Add(int64(len(line)))
 		if s, ok := parseInForce(line); ok {
-			n.seen.add(s)
+			n.history.add(s)
 		}
 		if line = bytes.TrimSpace(line); len(line) > 0 {
 			n.mu.Lock()
@@ -95,20 +95,20 @@
 )
 
 // parseInForce reads a log line that says that a list is in force.
-func parseInForce(line []byte) (revisionAt, bool) {
+func parseInForce(line []byte) (revisionTime, bool) {
 	if !bytes.Contains(line, inForceText) {
-		return revisionAt{}, false
+		return revisionTime{}, false
 	}
 	m := inForceLine.FindSubmatch(line)
 	if m == nil {
-		return revisionAt{}, false
+		return revisionTime{}, false
 	}
 	at, err := time.Parse(time.RFC3339Nano, string(m[1]))
 	revision, err2 := strconv.ParseInt(string(m[2]), 10, 64)
 	if err != nil || err2 != nil {
-		return revisionAt{}, false
+		return revisionTime{}, false
 	}
-	return revisionAt{revision, at.UnixNano()}, true
+	return revisionTime{revision, at.UnixNano()}, true
 }
 
 // awaitReady polls the node until it says that it is ready.
--- a/internal/scale/registry.go
+++ b/internal/scale/registry.go
@@ -17,41 +17,41 @@
 )
 
 const (
-	maxWatchWait   = time.Minute // of one watch (PROTOCOL, Discovery)
-	maxRemembered  = 4096        // changed entries; a watch from before them gets the whole list
-	maxDeltas      = 64          // encoded answers kept for one revision
-	maxHeader      = 8 << 10     // bytes
-	headTimeout    = 10 * time.Second
-	registryIdle   = 2 * time.Minute
-	listenAgain    = 10 * time.Millisecond // between tries, while the port can't be had
-	listenAgainFor = 5 * time.Second
+	maxWatchWait           = time.Minute // upper bound of the wait parameter (PROTOCOL, Discovery)
+	maxLogEntries          = 4096        // entries in the change log; a watch from an older revision gets the whole list
+	maxCachedDeltas        = 64          // encoded deltas cached per current revision
+	registryMaxHeaderBytes = 8 << 10     // bytes
+	readHeaderTimeout      = 10 * time.Second
+	registryIdleTimeout    = 2 * time.Minute
+	relistenInterval       = 10 * time.Millisecond // between retries while the port is in use
+	relistenTimeout        = 5 * time.Second
 )
 
-// RegistryConfig is what the stand-in for discovery begins with. Members are revision 1.
+// RegistryConfig configures a Registry. Members is the list at revision 1.
 type RegistryConfig struct {
-	Listeners int // each at a port of its own, to tell the traffic of nodes apart
+	Listeners int // each has its own port, so that traffic can be attributed to nodes
 	Plan      DiscoveryPlan
 	Members   []Entry
 }
 
-// RegistryStats are one listener's totals since the start. Bytes are counted on the connections, headers and
-// all; DeltaBytes and WholeBytes are those of bodies.
+// RegistryStats are the totals of one listener since the start. BytesIn and BytesOut count everything on the
+// connections, including headers; DeltaBytes and WholeBytes count response bodies only.
 type RegistryStats struct {
 	Connections int64 `json:"connections"` // accepted
-	Open        int64 `json:"open"`        // connections, now
+	Open        int64 `json:"open"`        // connections open now
 	WatchCalls  int64 `json:"watch_calls"`
-	WholeCalls  int64 `json:"whole_calls"` // calls without an index
-	Deltas      int64 `json:"deltas"`      // answers with changes
+	WholeCalls  int64 `json:"whole_calls"` // calls without an index parameter
+	Deltas      int64 `json:"deltas"`      // responses with changed entries
 	EmptyDeltas int64 `json:"empty_deltas"`
 	WholeLists  int64 `json:"whole_lists"`
-	Failures    int64 `json:"failures"` // calls that ended without a list: 503, or the connection ended first
+	Failures    int64 `json:"failures"` // calls that ended without a list: 503, or the connection closed first
 	BytesIn     int64 `json:"bytes_in"`
 	BytesOut    int64 `json:"bytes_out"`
 	DeltaBytes  int64 `json:"delta_bytes"`
 	WholeBytes  int64 `json:"whole_bytes"`
 }
 
-// registryCounters are RegistryStats as they grow.
+// registryCounters are the live counters behind RegistryStats.
 type registryCounters struct {
 	connections, open, watchCalls, wholeCalls, deltas, emptyDeltas, wholeLists, failures,
 	bytesIn, bytesOut, deltaBytes, wholeBytes atomic.Int64
@@ -64,54 +64,55 @@
 		BytesOut: c.bytesOut.Load(), DeltaBytes: c.deltaBytes.Load(), WholeBytes: c.wholeBytes.Load()}
 }
 
-// Registry stands in for discovery (PROTOCOL, Discovery): one list, told at several listeners. All its
-// methods may be called at the same time.
+// Registry simulates the discovery service (PROTOCOL, Discovery): it serves one list on several listeners. Its
+// methods are safe for concurrent use.
 type Registry struct {
-	ctx   context.Context // ends with Close
-	stop  context.CancelFunc
-	ports []*registryPort
-	work  sync.WaitGroup // the goroutines of listeners
+	ctx       context.Context // cancelled by Close
+	cancel    context.CancelFunc
+	endpoints []*registryEndpoint
+	wg        sync.WaitGroup // goroutines that serve or reopen listeners
 
 	queue callQueue
 
-	mu       sync.Mutex
-	list     changeLog
-	changed  chan struct{} // closed at the next change
-	silence  timedFault
-	gone     timedFault
-	stopping bool
+	mu      sync.Mutex
+	list    changeLog
+	changed chan struct{} // closed and replaced on each change
+	silence timedFault
+	outage  timedFault
+	closing bool
 }
 
-// timedFault is something that ends by itself. It is guarded by its owner's lock.
+// timedFault is a fault that ends after a set time. The owner's lock guards it.
 type timedFault struct {
 	until time.Time
-	over  chan struct{} // closed at the end; nil: there is no fault
+	done  chan struct{} // closed when the fault ends; nil if no fault is active
 	timer *time.Timer
 }
 
-// begin starts the fault, or lengthens it where it would end earlier.
-func (f *timedFault) begin(d time.Duration, end func()) {
+// begin starts the fault, or extends an active one that would end earlier. It calls onEnd when the time is up.
+func (f *timedFault) begin(d time.Duration, onEnd func()) {
 	until := time.Now().Add(d)
-	if f.over == nil {
-		f.over, f.until = make(chan struct{}), until
-		f.timer = time.AfterFunc(d, end)
+	if f.done == nil {
+		f.done, f.until = make(chan struct{}), until
+		f.timer = time.AfterFunc(d, onEnd)
 	} else if until.After(f.until) {
 		f.until = until
 		f.timer.Reset(d)
 	}
 }
 
-// end tells whether the fault is over now. A timer that went off just before it was set anew ends nothing.
-func (f *timedFault) end() bool {
-	if f.over == nil || time.Now().Before(f.until) {
+// endIfDue ends an active fault whose time is up and reports whether it did. A timer that fired just before begin
+// reset it has no effect.
+func (f *timedFault) endIfDue() bool {
+	if f.done == nil || time.Now().Before(f.until) {
 		return false
 	}
-	close(f.over)
-	f.over = nil
+	close(f.done)
+	f.done = nil
 	return true
 }
 
-// StartRegistry listens at loopback ports of its own choice and answers until Close.
+// StartRegistry listens on loopback ports that it picks itself, and serves until Close.
 func StartRegistry(c RegistryConfig) (*Registry, error) {
 	r, err := newRegistry(c)
 	if err != nil {
@@ -123,152 +124,152 @@
 			r.Close()
 			return nil, fmt.Errorf("discovery: %w", err)
 		}
-		p := r.addPort(ln.Addr().String())
-		p.server = &http.Server{Handler: p, ReadHeaderTimeout: headTimeout, IdleTimeout: registryIdle,
-			MaxHeaderBytes: maxHeader}
-		p.serve(ln)
+		ep := r.addEndpoint(ln.Addr().String())
+		ep.server = &http.Server{Handler: ep, ReadHeaderTimeout: readHeaderTimeout, IdleTimeout: registryIdleTimeout,
+			MaxHeaderBytes: registryMaxHeaderBytes}
+		ep.serve(ln)
 	}
 	return r, nil
 }
 
-// newRegistry makes a registry that has no listener yet.
+// newRegistry returns a registry without listeners.
 func newRegistry(c RegistryConfig) (*Registry, error) {
 	if c.Listeners < 1 {
 		return nil, fmt.Errorf("discovery: listeners: want 1 or more, got %d", c.Listeners)
 	}
-	r := &Registry{changed: make(chan struct{}), queue: callQueue{limit: c.Plan.QueueLimit.Duration}}
+	r := &Registry{changed: make(chan struct{}), queue: callQueue{maxWait: c.Plan.QueueLimit.Duration}}
 	if c.Plan.CallsPerSecond > 0 {
-		r.queue.each = time.Duration(float64(time.Second) / c.Plan.CallsPerSecond)
+		r.queue.timePerCall = time.Duration(float64(time.Second) / c.Plan.CallsPerSecond)
 	}
 	r.list.init(c.Members)
-	r.ctx, r.stop = context.WithCancel(context.Background())
+	r.ctx, r.cancel = context.WithCancel(context.Background())
 	return r, nil
 }
 
-func (r *Registry) addPort(addr string) *registryPort {
-	p := &registryPort{r: r, addr: addr, open: make(map[*countedConn]struct{})}
-	r.ports = append(r.ports, p)
-	return p
+func (r *Registry) addEndpoint(addr string) *registryEndpoint {
+	ep := &registryEndpoint{registry: r, addr: addr, conns: make(map[*countedConn]struct{})}
+	r.endpoints = append(r.endpoints, ep)
+	return ep
 }
 
-// Addresses are host and port of each listener, in the order of Stats.
+// Addresses returns the host and port of each listener, in the order of Stats.
 func (r *Registry) Addresses() []string {
-	all := make([]string, len(r.ports))
-	for i, p := range r.ports {
-		all[i] = p.addr
+	addresses := make([]string, len(r.endpoints))
+	for i, ep := range r.endpoints {
+		addresses[i] = ep.addr
 	}
-	return all
+	return addresses
 }
 
-// Stats are the totals of each listener.
+// Stats returns the totals of each listener.
 func (r *Registry) Stats() []RegistryStats {
-	all := make([]RegistryStats, len(r.ports))
-	for i, p := range r.ports {
-		all[i] = p.count.stats()
+	stats := make([]RegistryStats, len(r.endpoints))
+	for i, ep := range r.endpoints {
+		stats[i] = ep.counters.stats()
 	}
-	return all
+	return stats
 }
 
-// Change takes changed entries into the list as one revision and wakes the watches. They could be told of it
-// from the time at on: now, or the end of a fault.
-func (r *Registry) Change(entries []Entry) (revision int64, at time.Time) {
+// Change applies changed entries to the list as one revision and wakes the watches. visibleAt is the earliest time at
+// which a watch can return the revision: now, or the end of an active fault.
+func (r *Registry) Change(entries []Entry) (revision int64, visibleAt time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.list.add(entries)
+	r.list.addRevision(entries)
 	close(r.changed)
 	r.changed = make(chan struct{})
-	at = time.Now()
-	for _, f := range []*timedFault{&r.silence, &r.gone} {
-		if f.over != nil && f.until.After(at) {
-			at = f.until
+	visibleAt = time.Now()
+	for _, f := range []*timedFault{&r.silence, &r.outage} {
+		if f.done != nil && f.until.After(visibleAt) {
+			visibleAt = f.until
 		}
 	}
-	return r.list.revision, at
+	return r.list.revision, visibleAt
 }
 
-// Silence has every call and watch wait for its answer until d has passed; connections are accepted.
+// Silence delays the response to every call and watch until d has passed. Connections are still accepted.
 func (r *Registry) Silence(d time.Duration) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if !r.stopping {
+	if !r.closing {
 		r.silence.begin(d, func() {
 			r.mu.Lock()
 			defer r.mu.Unlock()
-			r.silence.end()
+			r.silence.endIfDue()
 		})
 	}
 }
 
-// Gone resets all connections and has new ones refused until d has passed. Then the same ports listen again.
-func (r *Registry) Gone(d time.Duration) {
+// TakeDown resets all connections and refuses new ones until d has passed. Then it listens on the same ports again.
+func (r *Registry) TakeDown(d time.Duration) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if r.stopping {
+	if r.closing {
 		return
 	}
-	r.gone.begin(d, func() {
+	r.outage.begin(d, func() {
 		r.mu.Lock()
 		defer r.mu.Unlock()
-		if !r.gone.end() || r.stopping {
+		if !r.outage.endIfDue() || r.closing {
 			return
 		}
-		for _, p := range r.ports {
-			r.work.Go(p.listenAgain)
+		for _, ep := range r.endpoints {
+			r.wg.Go(ep.relisten)
 		}
 	})
-	for _, p := range r.ports {
-		p.reset()
+	for _, ep := range r.endpoints {
+		ep.reset()
 	}
 }
 
-// Close ends all listeners, connections and calls.
+// Close closes all listeners and connections, and ends all calls.
 func (r *Registry) Close() {
 	r.mu.Lock()
-	r.stopping = true
-	for _, f := range []*timedFault{&r.silence, &r.gone} {
+	r.closing = true
+	for _, f := range []*timedFault{&r.silence, &r.outage} {
 		if f.timer != nil {
 			f.timer.Stop()
 		}
 	}
 	r.mu.Unlock()
-	r.stop()
-	for _, p := range r.ports {
-		p.reset()
-		p.server.Close()
+	r.cancel()
+	for _, ep := range r.endpoints {
+		ep.reset()
+		ep.server.Close()
 	}
-	r.work.Wait()
+	r.wg.Wait()
 }
 
-// errLate is the end of a call that would wait in the queue for longer than the limit.
-var errLate = errors.New("the queue is too long")
+// errQueueTooLong fails a call that would have to wait in the queue for longer than its limit.
+var errQueueTooLong = errors.New("the queue is too long")
 
-// callQueue is the one server that all calls go through in turn.
+// callQueue models a single server that handles all calls in sequence.
 type callQueue struct {
-	each  time.Duration // that a call takes; 0: none
-	limit time.Duration // that a call waits for its turn; 0: none
+	timePerCall time.Duration // service time of one call; 0 disables the queue
+	maxWait     time.Duration // longest wait for a turn, after which the call fails; 0: no limit
 
-	mu   sync.Mutex
-	free time.Time // when the calls taken in so far are done
+	mu        sync.Mutex
+	busyUntil time.Time // when the calls accepted so far are done
 }
 
-// pass waits for a call's turn and its time. A call that is given up keeps its place: the server finds out
-// when it answers.
-func (q *callQueue) pass(ctx context.Context) error {
-	if q.each == 0 {
+// waitTurn waits for a call's turn and its service time. A cancelled call keeps its place in the queue, because a
+// server only notices when it responds.
+func (q *callQueue) waitTurn(ctx context.Context) error {
+	if q.timePerCall == 0 {
 		return nil
 	}
 	q.mu.Lock()
 	now := time.Now()
-	if q.free.Before(now) {
-		q.free = now
+	if q.busyUntil.Before(now) {
+		q.busyUntil = now
 	}
-	wait := q.free.Sub(now)
-	late := q.limit > 0 && wait > q.limit
-	if late {
-		wait = q.limit
+	wait := q.busyUntil.Sub(now)
+	rejected := q.maxWait > 0 && wait > q.maxWait
+	if rejected {
+		wait = q.maxWait
 	} else {
-		q.free = q.free.Add(q.each)
-		wait += q.each
+		q.busyUntil = q.busyUntil.Add(q.timePerCall)
+		wait += q.timePerCall
 	}
 	q.mu.Unlock()
 	select {
@@ -276,22 +277,22 @@
 	case <-ctx.Done():
 		return ctx.Err()
 	}
-	if late {
-		return errLate
+	if rejected {
+		return errQueueTooLong
 	}
 	return nil
 }
 
-// changeLog is the list and its latest changes. Entries are kept as JSON.
+// changeLog holds the current list and its latest changes. Entries are stored as JSON.
 type changeLog struct {
-	revision int64
-	members  []loggedEntry  // in no order
-	index    map[string]int // of an id in members
-	log      []loggedEntry  // the latest changed entries, oldest first
-	oldest   int64          // the log has all that changed since this revision
+	revision      int64
+	members       []loggedEntry  // unordered
+	index         map[string]int // position in members, by id
+	log           []loggedEntry  // the latest changed entries, oldest first
+	completeSince int64          // the log holds every change after this revision
 
-	deltas map[int64][]byte // from a revision to this one
-	whole  []byte           // this one, or nil
+	cachedDeltas map[int64][]byte // encoded changes from a revision to the current one
+	cachedWhole  []byte           // encoded list at the current revision; nil if not encoded yet
 }
 
 type loggedEntry struct {
@@ -301,17 +302,17 @@
 }
 
 func (l *changeLog) init(members []Entry) {
-	l.revision, l.oldest = 1, 1
-	l.index, l.deltas = make(map[string]int, len(members)), make(map[int64][]byte)
+	l.revision, l.completeSince = 1, 1
+	l.index, l.cachedDeltas = make(map[string]int, len(members)), make(map[int64][]byte)
 	for _, e := range members {
-		l.set(e)
+		l.apply(e)
 	}
 }
 
-// set puts an entry in its place and returns it as it is logged.
-func (l *changeLog) set(e Entry) loggedEntry {
+// apply inserts, replaces or removes an entry of the list, and returns its log entry.
+func (l *changeLog) apply(e Entry) loggedEntry {
 	raw, err := json.Marshal(e)
-	if err != nil { // Size is not a number
+	if err != nil { // only if Size is NaN or infinite
 		panic(fmt.Sprintf("discovery: entry %s: %v", e.ID, err))
 	}
 	logged := loggedEntry{revision: l.revision, id: e.ID, raw: raw}
@@ -331,32 +332,34 @@
 	return logged
 }
 
-func (l *changeLog) add(entries []Entry) {
+// addRevision applies entries as the next revision and drops the oldest revisions from a log that is too long.
+func (l *changeLog) addRevision(entries []Entry) {
 	l.revision++
-	l.whole = nil
-	clear(l.deltas)
+	l.cachedWhole = nil
+	clear(l.cachedDeltas)
 	for _, e := range entries {
-		l.log = append(l.log, l.set(e))
+		l.log = append(l.log, l.apply(e))
 	}
-	over := len(l.log) - maxRemembered
-	if over <= 0 {
+	excess := len(l.log) - maxLogEntries
+	if excess <= 0 {
 		return
 	}
-	l.oldest = l.log[over-1].revision
-	for over < len(l.log) && l.log[over].revision == l.oldest { // a revision is remembered whole or not
-		over++
+	l.completeSince = l.log[excess-1].revision
+	for excess < len(l.log) && l.log[excess].revision == l.completeSince { // keep or drop a revision as a whole
+		excess++
 	}
-	clear(l.log[:over])
-	l.log = l.log[over:]
+	clear(l.log[:excess])
+	l.log = l.log[excess:]
 }
 
-// since is the answer to a watch from the revision: the latest state of what changed after it, or the whole
-// list. The bytes are shared.
+// since returns the response body for a watch from the revision: the latest state of each entry that changed after
+// it, or the whole list where the log doesn't reach back that far or the revision is newer than the list. Callers share
+// the bytes and must not modify them.
 func (l *changeLog) since(revision int64) (body []byte, whole bool) {
-	if revision < l.oldest || revision > l.revision {
-		return l.all(), true
+	if revision < l.completeSince || revision > l.revision {
+		return l.wholeList(), true
 	}
-	if body := l.deltas[revision]; body != nil {
+	if body := l.cachedDeltas[revision]; body != nil {
 		return body, false
 	}
 	var latest []loggedEntry // newest first
@@ -371,17 +374,17 @@
 		latest[i], latest[j] = latest[j], latest[i]
 	}
 	body = l.encode(false, latest)
-	if len(l.deltas) < maxDeltas {
-		l.deltas[revision] = body
+	if len(l.cachedDeltas) < maxCachedDeltas {
+		l.cachedDeltas[revision] = body
 	}
 	return body, false
 }
 
-func (l *changeLog) all() []byte {
-	if l.whole == nil {
-		l.whole = l.encode(true, l.members)
+func (l *changeLog) wholeList() []byte {
+	if l.cachedWhole == nil {
+		l.cachedWhole = l.encode(true, l.members)
 	}
-	return l.whole
+	return l.cachedWhole
 }
 
 func (l *changeLog) encode(complete bool, entries []loggedEntry) []byte {
@@ -399,22 +402,22 @@
 	return append(body, "]}"...)
 }
 
-// registryAnswer is what a call gets.
-type registryAnswer struct {
+// registryResponse is the result of one call. empty marks a delta without changes.
+type registryResponse struct {
 	body         []byte
 	whole, empty bool
 }
 
-// heard waits for the end of a silence.
-func (r *Registry) heard(ctx context.Context) error {
+// awaitSilenceEnd waits for an active silence to end, for ctx or for Close.
+func (r *Registry) awaitSilenceEnd(ctx context.Context) error {
 	r.mu.Lock()
-	silent := r.silence.over
+	silenceEnd := r.silence.done
 	r.mu.Unlock()
-	if silent == nil {
+	if silenceEnd == nil {
 		return nil
 	}
 	select {
-	case <-silent:
+	case <-silenceEnd:
 		return nil
 	case <-ctx.Done():
 		return ctx.Err()
@@ -423,101 +426,102 @@
 	}
 }
 
-// call answers one call, which waits for something newer than the revision where it is a watch.
-func (r *Registry) call(ctx context.Context, watch bool, revision int64, wait time.Duration) (registryAnswer, error) {
-	if err := r.heard(ctx); err != nil {
-		return registryAnswer{}, err
+// respond produces the response to one call. A watch waits up to wait for the list to differ from the revision.
+func (r *Registry) respond(ctx context.Context, watch bool, revision int64, wait time.Duration) (registryResponse, error) {
+	if err := r.awaitSilenceEnd(ctx); err != nil {
+		return registryResponse{}, err
 	}
-	if err := r.queue.pass(ctx); err != nil {
-		r.heard(ctx) // a refusal waits for the end of a silence as well
-		return registryAnswer{}, err
+	if err := r.queue.waitTurn(ctx); err != nil {
+		r.awaitSilenceEnd(ctx) // a silence delays the error response too
+		return registryResponse{}, err
 	}
 	timer := time.NewTimer(wait)
 	defer timer.Stop()
-	for over := wait <= 0; ; {
+	for expired := wait <= 0; ; {
 		r.mu.Lock()
-		var a registryAnswer
-		silent, changed := r.silence.over, r.changed
+		var response registryResponse
+		silenceEnd, changed := r.silence.done, r.changed
 		switch {
-		case silent != nil:
+		case silenceEnd != nil:
 		case !watch:
-			a = registryAnswer{body: r.list.all(), whole: true}
-		case over || revision != r.list.revision:
-			a.empty = revision == r.list.revision
-			a.body, a.whole = r.list.since(revision)
+			response = registryResponse{body: r.list.wholeList(), whole: true}
+		case expired || revision != r.list.revision:
+			response.empty = revision == r.list.revision
+			response.body, response.whole = r.list.since(revision)
 		}
 		r.mu.Unlock()
 		switch {
-		case a.body != nil:
-			return a, nil
-		case silent != nil:
+		case response.body != nil:
+			return response, nil
+		case silenceEnd != nil:
 			changed = nil
 		}
 		select {
 		case <-changed:
-		case <-silent:
+		case <-silenceEnd:
 		case <-timer.C:
-			over = true
+			expired = true
 		case <-ctx.Done():
-			return registryAnswer{}, ctx.Err()
+			return registryResponse{}, ctx.Err()
 		case <-r.ctx.Done():
-			return registryAnswer{}, r.ctx.Err()
+			return registryResponse{}, r.ctx.Err()
 		}
 	}
 }
 
-// registryPort is one listener and its connections.
-type registryPort struct {
-	r      *Registry
-	addr   string
-	server *http.Server
-	count  registryCounters
+// registryEndpoint is one listener with its connections and counters.
+type registryEndpoint struct {
+	registry *Registry
+	addr     string
+	server   *http.Server
+	counters registryCounters
 
 	mu       sync.Mutex
-	listener net.Listener // nil while there is none
-	open     map[*countedConn]struct{}
+	listener net.Listener // nil while not listening
+	conns    map[*countedConn]struct{}
 }
 
 // ServeHTTP answers GET /registry/instances.
-func (p *registryPort) ServeHTTP(w http.ResponseWriter, req *http.Request) {
+func (ep *registryEndpoint) ServeHTTP(w http.ResponseWriter, req *http.Request) {
 	if req.Method != http.MethodGet || req.URL.Path != "/registry/instances" {
 		http.NotFound(w, req)
 		return
 	}
-	watch, revision, wait, err := readCall(req)
+	watch, revision, wait, err := parseListQuery(req)
 	if err != nil {
 		http.Error(w, err.Error(), http.StatusBadRequest)
 		return
 	}
 	if watch {
-		p.count.watchCalls.Add(1)
+		ep.counters.watchCalls.Add(1)
 	} else {
-		p.count.wholeCalls.Add(1)
+		ep.counters.wholeCalls.Add(1)
 	}
-	a, err := p.r.call(req.Context(), watch, revision, wait)
+	response, err := ep.registry.respond(req.Context(), watch, revision, wait)
 	if err != nil {
-		p.count.failures.Add(1)
+		ep.counters.failures.Add(1)
 		http.Error(w, err.Error(), http.StatusServiceUnavailable)
 		return
 	}
-	size := int64(len(a.body))
+	size := int64(len(response.body))
 	switch {
-	case a.whole:
-		p.count.wholeLists.Add(1)
-		p.count.wholeBytes.Add(size)
-	case a.empty:
-		p.count.emptyDeltas.Add(1)
-		p.count.deltaBytes.Add(size)
+	case response.whole:
+		ep.counters.wholeLists.Add(1)
+		ep.counters.wholeBytes.Add(size)
+	case response.empty:
+		ep.counters.emptyDeltas.Add(1)
+		ep.counters.deltaBytes.Add(size)
 	default:
-		p.count.deltas.Add(1)
-		p.count.deltaBytes.Add(size)
+		ep.counters.deltas.Add(1)
+		ep.counters.deltaBytes.Add(size)
 	}
 	w.Header().Set("Content-Type", "application/json")
 	w.Header().Set("Content-Length", strconv.FormatInt(size, 10))
-	w.Write(a.body) // where the client has left, there is nobody to tell
+	w.Write(response.body) // a write error means that the client has disconnected
 }
 
-func readCall(req *http.Request) (watch bool, revision int64, wait time.Duration, err error) {
+// parseListQuery reads the index and wait parameters. A call with an index is a watch.
+func parseListQuery(req *http.Request) (watch bool, revision int64, wait time.Duration, err error) {
 	query := req.URL.Query()
 	if !query.Has("index") {
 		return false, 0, 0, nil
@@ -535,71 +539,71 @@
 	return true, revision, wait, nil
 }
 
-// serve takes in connections from the listener until it is closed.
-func (p *registryPort) serve(ln net.Listener) {
-	p.mu.Lock()
-	p.listener = ln
-	p.mu.Unlock()
-	p.r.work.Go(func() {
-		p.server.Serve(&countedListener{ln, p}) // its error is that of a closed listener
+// serve accepts connections from the listener in the background until it is closed.
+func (ep *registryEndpoint) serve(ln net.Listener) {
+	ep.mu.Lock()
+	ep.listener = ln
+	ep.mu.Unlock()
+	ep.registry.wg.Go(func() {
+		ep.server.Serve(&countedListener{ln, ep}) // the error only says that the listener was closed
 	})
 }
 
-// listenAgain takes up the port after discovery was gone. Something else may hold it for a moment.
-func (p *registryPort) listenAgain() {
-	for end := time.Now().Add(listenAgainFor); p.closed(); {
-		ln, err := net.Listen("tcp4", p.addr)
+// relisten binds the port again after an outage. It retries, because another socket may hold the port briefly.
+func (ep *registryEndpoint) relisten() {
+	for deadline := time.Now().Add(relistenTimeout); ep.closed(); {
+		ln, err := net.Listen("tcp4", ep.addr)
 		if err == nil {
-			p.r.mu.Lock()
-			defer p.r.mu.Unlock()
-			if p.r.stopping || p.r.gone.over != nil { // whose end listens
+			ep.registry.mu.Lock()
+			defer ep.registry.mu.Unlock()
+			if ep.registry.closing || ep.registry.outage.done != nil { // a new outage has begun; its end reopens the listener
 				ln.Close()
 				return
 			}
-			p.serve(ln)
+			ep.serve(ln)
 			return
 		}
-		if time.Now().After(end) {
-			slog.Error("discovery: cannot listen again", "address", p.addr, "error", err)
+		if time.Now().After(deadline) {
+			slog.Error("discovery: cannot listen again", "address", ep.addr, "error", err)
 			return
 		}
 		select {
-		case <-time.After(listenAgain):
-		case <-p.r.ctx.Done():
+		case <-time.After(relistenInterval):
+		case <-ep.registry.ctx.Done():
 			return
 		}
 	}
 }
 
-// closed tells that nothing listens.
-func (p *registryPort) closed() bool {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	return p.listener == nil
+// closed reports whether the endpoint has no listener.
+func (ep *registryEndpoint) closed() bool {
+	ep.mu.Lock()
+	defer ep.mu.Unlock()
+	return ep.listener == nil
 }
 
-// reset closes the listener, and then its connections in such a way that the other side sees a reset.
-func (p *registryPort) reset() {
-	p.mu.Lock()
-	ln := p.listener
-	p.listener = nil
-	all := make([]*countedConn, 0, len(p.open))
-	for c := range p.open {
-		all = append(all, c)
+// reset closes the listener, and then resets its connections with a TCP RST.
+func (ep *registryEndpoint) reset() {
+	ep.mu.Lock()
+	ln := ep.listener
+	ep.listener = nil
+	conns := make([]*countedConn, 0, len(ep.conns))
+	for c := range ep.conns {
+		conns = append(conns, c)
 	}
-	p.mu.Unlock()
+	ep.mu.Unlock()
 	if ln != nil {
 		ln.Close()
 	}
-	for _, c := range all {
+	for _, c := range conns {
 		c.reset()
 	}
 }
 
-// countedListener counts connections and their bytes.
+// countedListener counts accepted connections and wraps them in countedConn.
 type countedListener struct {
 	net.Listener
-	port *registryPort
+	endpoint *registryEndpoint
 }
 
 func (l *countedListener) Accept() (net.Conn, error) {
@@ -608,49 +612,51 @@
 		if err != nil {
 			return nil, err
 		}
-		counted := &countedConn{Conn: c, port: l.port}
-		l.port.count.connections.Add(1)
-		l.port.count.open.Add(1)
-		l.port.mu.Lock()
-		l.port.open[counted] = struct{}{}
-		late := l.port.listener != l.Listener // it was reset meanwhile
-		l.port.mu.Unlock()
-		if !late {
+		counted := &countedConn{Conn: c, endpoint: l.endpoint}
+		l.endpoint.counters.connections.Add(1)
+		l.endpoint.counters.open.Add(1)
+		l.endpoint.mu.Lock()
+		l.endpoint.conns[counted] = struct{}{}
+		stale := l.endpoint.listener != l.Listener // the endpoint was reset while the connection was being accepted
+		l.endpoint.mu.Unlock()
+		if !stale {
 			return counted, nil
 		}
 		counted.reset()
 	}
 }
 
+// countedConn counts the bytes of a connection, and its end.
 type countedConn struct {
 	net.Conn
-	port *registryPort
-	once sync.Once
+	endpoint *registryEndpoint
+	once     sync.Once
 }
 
 func (c *countedConn) Read(b []byte) (int, error) {
 	n, err := c.Conn.Read(b)
-	c.port.count.bytesIn.Add(int64(n))
+	c.endpoint.counters.bytesIn.Add(int64(n))
 	return n, err
 }
 
 func (c *countedConn) Write(b []byte) (int, error) {
-	c.port.count.bytesOut.Add(int64(len(b))) // before the other side can have read them
+	c.endpoint.counters.bytesOut.Add(int64(len(b))) // count before the peer can read them; corrected below
 	n, err := c.Conn.Write(b)
-	c.port.count.bytesOut.Add(int64(n - len(b)))
+	c.endpoint.counters.bytesOut.Add(int64(n - len(b)))
 	return n, err
 }
 
 func (c *countedConn) Close() error {
 	c.once.Do(func() {
-		c.port.count.open.Add(-1)
-		c.port.mu.Lock()
-		delete(c.port.open, c)
-		c.port.mu.Unlock()
+		c.endpoint.counters.open.Add(-1)
+		c.endpoint.mu.Lock()
+		delete(c.endpoint.conns, c)
+		c.endpoint.mu.Unlock()
 	})
 	return c.Conn.Close()
 }
 
+// reset closes the connection with a TCP RST.
 func (c *countedConn) reset() {
 	if tcp, ok := c.Conn.(*net.TCPConn); ok {
 		tcp.SetLinger(0)
@@ -658,29 +664,30 @@
 	c.Close()
 }
 
-// FreeLoopbackPort finds a port that nothing listens at on the wildcard address. It lies below the ports that
-// outgoing connections take, so that none of them gets it, nor is connected to itself while nothing listens.
+// FreeLoopbackPort returns a port that is free on the wildcard address. It lies below the ephemeral port range, so
+// that no outgoing connection takes it, or connects to itself while nothing listens there.
 func FreeLoopbackPort() (int, error) {
-	ln, err := listenBelow("0.0.0.0")
+	ln, err := listenBelowEphemeral("0.0.0.0")
 	if err != nil {
 		return 0, err
 	}
 	return ln.Addr().(*net.TCPAddr).Port, ln.Close()
 }
 
-func listenLoopback() (net.Listener, error) { return listenBelow("127.0.0.1") }
+func listenLoopback() (net.Listener, error) { return listenBelowEphemeral("127.0.0.1") }
 
-func listenBelow(host string) (net.Listener, error) {
-	const least, tries = 10_000, 100
-	first := 32_768 // Linux's own figure
+// listenBelowEphemeral listens on a random free port of host below the ephemeral port range.
+func listenBelowEphemeral(host string) (net.Listener, error) {
+	const minPort, maxTries = 10_000, 100
+	ephemeralStart := 32_768 // the Linux default
 	if raw, err := os.ReadFile("/proc/sys/net/ipv4/ip_local_port_range"); err == nil {
-		fmt.Sscan(string(raw), &first)
+		fmt.Sscan(string(raw), &ephemeralStart)
 	}
 	var err error
-	for range tries {
-		port := 0 // the kernel's choice, where outgoing connections may take any
-		if first > least {
-			port = least + rand.IntN(first-least)
+	for range maxTries {
+		port := 0 // chosen by the kernel if the ephemeral range leaves no ports below it
+		if ephemeralStart > minPort {
+			port = minPort + rand.IntN(ephemeralStart-minPort)
 		}
 		var ln net.Listener
 		if ln, err = net.Listen("tcp4", net.JoinHostPort(host, strconv.Itoa(port))); err == nil {
--- a/internal/scale/run.go
+++ b/internal/scale/run.go
@@ -17,83 +17,83 @@
 )
 
 const (
-	startAllowance = 2 * time.Minute // of a step, beside its parts
-	nodeAllowance  = time.Second     // of a step for each node that it starts
-	restFor        = time.Second     // after the last node has asked discovery, before the quiet part
-	settleFor      = 5 * time.Second // after the last change, for it to be in force everywhere
-	lookEvery      = 50 * time.Millisecond
-	weighEvery     = 250 * time.Millisecond
-	memoryPart     = 0.5                  // of the machine, for a step's processes
-	workMean       = 5 * time.Millisecond // of a request at a transcriber
+	startAllowance      = 2 * time.Minute // part of a step's timeout, in addition to its measured parts
+	nodeAllowance       = time.Second     // part of a step's timeout for each node it starts
+	quietStartDelay     = time.Second     // pause between the last node's first discovery call and the quiet part
+	convergenceTimeout  = 5 * time.Second // how long the last change may take to be in force at every node
+	pollInterval        = 50 * time.Millisecond
+	memoryCheckInterval = 250 * time.Millisecond
+	maxMemoryFraction   = 0.5                  // fraction of the machine's memory that a step's processes may use
+	meanWorkTime        = 5 * time.Millisecond // mean time that a transcriber works on a request
 )
 
-// Options are what a run is told beside its plan.
+// Options are the settings of a run that are not part of its plan.
 type Options struct {
-	NodeBinary string   // the built node
-	Program    string   // this program, which children are started from
-	Steps      []string // names of those to run; empty: all
-	Seed       uint64   // 0: the plan's
-	Repeat     int      // how often the whole plan is run
-	MemoryMB   int      // the memory limit that nodes are told
+	NodeBinary string   // path of the node's executable
+	Program    string   // path of this program's executable, from which child processes are started
+	Steps      []string // names of the steps to run; all if empty
+	Seed       uint64   // the plan's seed if 0
+	Repeat     int      // number of times the whole plan is run
+	MemoryMB   int      // memory limit in the configuration of each node
 }
 
-// Execute runs the plan at path. With an error, the result holds what was measured until then.
-func Execute(ctx context.Context, path string, o Options) (Result, error) {
+// Execute runs the plan at path. If it returns an error, the result holds what was measured before it.
+func Execute(ctx context.Context, path string, options Options) (Result, error) {
 	plan, err := LoadPlan(path)
 	if err != nil {
 		return Result{}, err
 	}
-	raw, err := os.ReadFile(path)
+	planText, err := os.ReadFile(path)
 	if err != nil {
 		return Result{}, err
 	}
-	if o.Seed == 0 {
-		o.Seed = plan.Seed
+	if options.Seed == 0 {
+		options.Seed = plan.Seed
 	}
-	steps, err := chosen(plan.Steps, o.Steps)
+	steps, err := selectSteps(plan.Steps, options.Steps)
 	if err != nil {
 		return Result{}, err
 	}
-	limit := time.Duration(0)
-	for _, s := range steps {
-		limit += stepLimit(s) * time.Duration(max(1, o.Repeat))
-		if s.Real > 0 {
-			if _, err := os.Stat(o.NodeBinary); err != nil {
+	timeout := time.Duration(0)
+	for _, step := range steps {
+		timeout += stepTimeout(step) * time.Duration(max(1, options.Repeat))
+		if step.Real > 0 {
+			if _, err := os.Stat(options.NodeBinary); err != nil {
 				return Result{}, fmt.Errorf("node binary: %w", err)
 			}
 		}
 	}
-	ctx, cancel := context.WithTimeoutCause(ctx, limit, fmt.Errorf("the run took longer than %v", limit))
+	ctx, cancel := context.WithTimeoutCause(ctx, timeout, fmt.Errorf("the run took longer than %v", timeout))
 	defer cancel()
-	res := newResult(plan.Name, o.Seed)
-	res.PlanHash = fmt.Sprintf("%x", sha256.Sum256(raw))
-	var failed error
-	for i := range max(1, o.Repeat) {
+	result := newResult(plan.Name, options.Seed)
+	result.PlanHash = fmt.Sprintf("%x", sha256.Sum256(planText))
+	var stepErrors error
+	for i := range max(1, options.Repeat) {
 		run := Run{Began: time.Now().UTC().Truncate(time.Second), LoadAvg: loadAverage()}
 		began := time.Now()
-		for _, s := range steps {
-			slog.Info("step", "run", i+1, "name", s.Name, "nodes", s.Nodes, "hollow", s.Hollow, "real", s.Real)
-			sr, err := runStep(ctx, s, o)
+		for _, step := range steps {
+			slog.Info("step", "run", i+1, "name", step.Name, "nodes", step.Nodes, "hollow", step.Hollow, "real", step.Real)
+			stepResult, err := runStep(ctx, step, options)
 			if err != nil {
-				slog.Error("step", "name", s.Name, "err", err)
-				sr.Error, failed = err.Error(), errors.Join(failed, fmt.Errorf("step %s: %w", s.Name, err))
+				slog.Error("step", "name", step.Name, "err", err)
+				stepResult.Error, stepErrors = err.Error(), errors.Join(stepErrors, fmt.Errorf("step %s: %w", step.Name, err))
 			}
-			run.Steps = append(run.Steps, sr)
+			run.Steps = append(run.Steps, stepResult)
 			if ctx.Err() != nil {
 				break
 			}
 		}
 		run.Seconds = round(time.Since(began).Seconds())
-		res.Runs = append(res.Runs, run)
+		result.Runs = append(result.Runs, run)
 		if ctx.Err() != nil {
 			break
 		}
 	}
-	return res, failed
+	return result, stepErrors
 }
 
-// chosen returns the steps with these names, in the plan's order.
-func chosen(steps []Step, names []string) ([]Step, error) {
+// selectSteps returns the steps with the given names in the plan's order, or all steps if there are no names.
+func selectSteps(steps []Step, names []string) ([]Step, error) {
 	for _, name := range names {
 		if !slices.ContainsFunc(steps, func(s Step) bool { return s.Name == name }) {
 			return nil, fmt.Errorf("step %q: not in the plan", name)
@@ -105,95 +105,100 @@
 	return slices.DeleteFunc(slices.Clone(steps), func(s Step) bool { return !slices.Contains(names, s.Name) }), nil
 }
 
-func stepLimit(s Step) time.Duration {
+// stepTimeout returns the timeout of a step.
+func stepTimeout(s Step) time.Duration {
 	return startAllowance + time.Duration(s.Real+s.Hollow)*nodeAllowance + 2*s.Quiet.Duration + 2*s.Loaded.Duration
 }
 
-// stepRun is one step as it runs.
+// stepRun holds the state of a running step.
 type stepRun struct {
 	Step
-	o      Options
-	world  *World
-	set    policy.Settings
-	temp   string
-	cancel context.CancelCauseFunc
-	res    *StepResult
+	options  Options
+	world    *World
+	settings policy.Settings
+	tempDir  string
+	cancel   context.CancelCauseFunc
+	result   *StepResult
 
 	registry, transcribers *child
-	addresses              []string
-	real                   []*realNode
-	hollow                 []*child
-	groups                 []int // hollow nodes of each process
-
-	mu       sync.Mutex
-	children []*child
-	again    *hdrhistogram.Histogram // from a restart to ready, in microseconds
-	faulty   int                     // changes that faults have made
+	registryAddresses      []string
+	realNodes              []*realNode
+	hollowProcesses        []*child
+	hollowCounts           []int // number of hollow nodes in each process
+
+	mu             sync.Mutex
+	children       []*child
+	restartToReady *hdrhistogram.Histogram // time from restart to readiness, in microseconds
+	faultChanges   int                     // number of list changes made by faults
 }
 
-// snapshot is what has been spent and sent up to a time.
-type snapshot struct {
-	at       time.Time
-	real     time.Duration // CPU of all real nodes
-	hollow   time.Duration // CPU of all processes of hollow nodes
-	registry RegistryCost
-	logs     int64 // bytes, of hollow nodes
+// usageSnapshot holds the cumulative resource use at a point in time.
+type usageSnapshot struct {
+	at             time.Time
+	realCPU        time.Duration // CPU time of all real nodes
+	hollowCPU      time.Duration // CPU time of all processes that run hollow nodes
+	registry       RegistryCost
+	hollowLogBytes int64 // bytes logged by hollow nodes
 }
 
-func runStep(ctx context.Context, s Step, o Options) (res StepResult, err error) {
-	ctx, cancel := context.WithTimeoutCause(ctx, stepLimit(s), fmt.Errorf("the step took longer than %v", stepLimit(s)))
+// runStep starts the processes of a step, measures it, and stops them. The result holds what was measured, also if
+// there is an error.
+func runStep(ctx context.Context, step Step, options Options) (result StepResult, err error) {
+	ctx, cancel := context.WithTimeoutCause(ctx, stepTimeout(step),
+		fmt.Errorf("the step took longer than %v", stepTimeout(step)))
 	defer cancel()
-	ctx, fail := context.WithCancelCause(ctx)
-	defer fail(nil)
-	res = StepResult{Name: s.Name, Size: Size{Nodes: s.Nodes, Hollow: s.Hollow, Real: s.Real, Services: s.Services,
-		Transcribers: s.Transcribers, Tenants: s.Tenants, RequestRate: s.RequestRate, ChangeRate: s.ChangeRate,
-		NodeMemoryMB: o.MemoryMB}}
-	for _, f := range s.Faults {
-		res.Faults = append(res.Faults, f.text())
+	ctx, cancelStep := context.WithCancelCause(ctx)
+	defer cancelStep(nil)
+	result = StepResult{Name: step.Name, Size: Size{Nodes: step.Nodes, Hollow: step.Hollow, Real: step.Real,
+		Services: step.Services, Transcribers: step.Transcribers, Tenants: step.Tenants, RequestRate: step.RequestRate, ChangeRate: step.ChangeRate,
+		NodeMemoryMB: options.MemoryMB}}
+	for _, fault := range step.Faults {
+		result.Faults = append(result.Faults, fault.description())
 	}
-	r := &stepRun{Step: s, o: o, cancel: fail, res: &res, again: histogram()}
-	if s.Hollow > 0 {
-		each := s.PerProcess
-		if each == 0 {
-			each = s.Hollow
+	r := &stepRun{Step: step, options: options, cancel: cancelStep, result: &result, restartToReady: histogram()}
+	if step.Hollow > 0 {
+		perProcess := step.PerProcess
+		if perProcess == 0 {
+			perProcess = step.Hollow
 		}
-		for left := s.Hollow; left > 0; left -= each {
-			r.groups = append(r.groups, min(left, each))
+		for remaining := step.Hollow; remaining > 0; remaining -= perProcess {
+			r.hollowCounts = append(r.hollowCounts, min(remaining, perProcess))
 		}
 	}
-	if n := s.Real + len(r.groups) + 2; n > maxChildren {
-		return res, fmt.Errorf("processes: want %d or fewer, got %d", maxChildren, n)
+	if n := step.Real + len(r.hollowCounts) + 2; n > maxChildren {
+		return result, fmt.Errorf("processes: want %d or fewer, got %d", maxChildren, n)
 	}
 	port, err := FreeLoopbackPort()
 	if err != nil {
-		return res, err
+		return result, err
 	}
-	r.world = NewWorld(s, o.Seed, port)
-	if r.set, err = settingsOf(r.world, 0); err != nil {
-		return res, err
+	r.world = NewWorld(step, options.Seed, port)
+	if r.settings, err = settingsOf(r.world, 0); err != nil {
+		return result, err
 	}
-	if res.Module, err = measureModule(ctx, r.world, r.set, o.Seed); err != nil {
-		return res, err
+	if result.Module, err = measureModule(ctx, r.world, r.settings, options.Seed); err != nil {
+		return result, err
 	}
-	if r.temp, err = os.MkdirTemp("", "scalerun-"); err != nil {
-		return res, err
+	if r.tempDir, err = os.MkdirTemp("", "scalerun-"); err != nil {
+		return result, err
 	}
-	defer os.RemoveAll(r.temp)
-	var watch sync.WaitGroup
-	defer watch.Wait()
-	defer fail(nil)
-	defer r.end()
-	watch.Go(func() { r.weigh(ctx) })
-	if err = r.start(ctx, port); err == nil {
+	defer os.RemoveAll(r.tempDir)
+	var monitor sync.WaitGroup
+	defer monitor.Wait()
+	defer cancelStep(nil)
+	defer r.stopProcesses()
+	monitor.Go(func() { r.enforceMemoryLimit(ctx) })
+	if err = r.startProcesses(ctx, port); err == nil {
 		err = r.measure(ctx)
 	}
-	if err != nil && context.Cause(ctx) != nil { // what came after is but a consequence
+	if err != nil && context.Cause(ctx) != nil { // err only follows from the cancellation
 		err = context.Cause(ctx)
 	}
-	return res, err
+	return result, err
 }
 
-func (f Fault) text() string {
+// description describes the fault in a step's result.
+func (f Fault) description() string {
 	switch f.Kind {
 	case RestartWave:
 		return fmt.Sprintf("%s of %g of the nodes at %v", f.Kind, f.Part, f.At.Duration)
@@ -203,107 +208,113 @@
 	return fmt.Sprintf("%s for %v at %v", f.Kind, f.For.Duration, f.At.Duration)
 }
 
-func (r *stepRun) child(kind string) (*child, error) {
-	c, err := startChild(r.o.Program, kind)
+// addChild starts a child process of this kind and registers it, so that stopProcesses stops it and
+// enforceMemoryLimit counts its memory.
+func (r *stepRun) addChild(kind string) (*child, error) {
+	process, err := startChild(r.options.Program, kind)
 	if err == nil {
 		r.mu.Lock()
-		r.children = append(r.children, c)
+		r.children = append(r.children, process)
 		r.mu.Unlock()
 	}
-	return c, err
+	return process, err
 }
 
-// end ends all processes, each by its own id.
-func (r *stepRun) end() {
-	var all sync.WaitGroup
-	for _, n := range r.real {
-		all.Go(n.kill)
+// stopProcesses stops every process that the step has started, each by its process ID, and waits for them.
+func (r *stepRun) stopProcesses() {
+	var stops sync.WaitGroup
+	for _, n := range r.realNodes {
+		stops.Go(n.kill)
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for _, c := range r.children {
-		all.Go(c.end)
+		stops.Go(c.end)
 	}
-	all.Wait()
+	stops.Wait()
 }
 
-// weigh stops the step when its processes hold too much memory.
-func (r *stepRun) weigh(ctx context.Context) {
+// enforceMemoryLimit cancels the step when the resident memory of its processes exceeds maxMemoryFraction of the
+// machine's memory.
+func (r *stepRun) enforceMemoryLimit(ctx context.Context) {
 	total, err := memTotal()
 	if err != nil {
 		r.cancel(err)
 		return
 	}
-	look := time.NewTicker(weighEvery)
-	defer look.Stop()
+	ticker := time.NewTicker(memoryCheckInterval)
+	defer ticker.Stop()
 	for {
 		select {
-		case <-look.C:
+		case <-ticker.C:
 		case <-ctx.Done():
 			return
 		}
-		var sum int64
+		var resident int64
 		for _, pid := range r.pids() {
-			if rss, err := memoryOf(pid, "VmRSS"); err == nil { // else it has just ended
-				sum += rss
+			if rss, err := memoryOf(pid, "VmRSS"); err == nil { // an error means that the process has just ended
+				resident += rss
 			}
 		}
-		if float64(sum) > memoryPart*float64(total) {
-			r.cancel(fmt.Errorf("the step's processes hold %d MiB, more than half of the machine's memory", sum>>20))
+		if float64(resident) > maxMemoryFraction*float64(total) {
+			r.cancel(fmt.Errorf("the step's processes hold %d MiB, more than half of the machine's memory", resident>>20))
 		}
 	}
 }
 
-func (r *stepRun) pids() (all []int) {
+// pids returns the IDs of the running processes.
+func (r *stepRun) pids() (ids []int) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for _, c := range r.children {
-		all = append(all, c.pid())
+		ids = append(ids, c.pid())
 	}
-	for _, n := range r.real {
+	for _, n := range r.realNodes {
 		if pid := n.pid(); pid != 0 {
-			all = append(all, pid)
+			ids = append(ids, pid)
 		}
 	}
-	return all
+	return ids
 }
 
-// start starts the stand-ins, then the real nodes one after the other, then the hollow ones.
-func (r *stepRun) start(ctx context.Context, port int) (err error) {
-	if r.registry, err = r.child("registry"); err != nil {
+// startProcesses starts the stand-ins, then the real nodes one after another, then the hollow nodes.
+func (r *stepRun) startProcesses(ctx context.Context, port int) (err error) {
+	if r.registry, err = r.addChild("registry"); err != nil {
 		return err
 	}
-	err = r.registry.call(ctx, "Child.Start", RegistryArgs{r.Step, r.o.Seed, port, max(1, r.Real+len(r.groups))}, &r.addresses)
+	err = r.registry.call(ctx, "Child.Start",
+		RegistryArgs{r.Step, r.options.Seed, port, max(1, r.Real+len(r.hollowCounts))}, &r.registryAddresses)
 	if err != nil {
 		return err
 	}
-	if r.loads() {
-		if r.transcribers, err = r.child("transcribers"); err != nil {
+	if r.sendsRequests() {
+		if r.transcribers, err = r.addChild("transcribers"); err != nil {
 			return err
 		}
-		if err := r.transcribers.call(ctx, "Child.Start", TranscribersArgs{r.Step, r.o.Seed, port, workMean}, nil); err != nil {
+		if err := r.transcribers.call(ctx, "Child.Start",
+			TranscribersArgs{r.Step, r.options.Seed, port, meanWorkTime}, nil); err != nil {
 			return err
 		}
 	}
 	if r.Real > 0 {
-		r.res.Real = &KindResult{Nodes: r.Real, Processes: r.Real}
-		if err := r.startReal(ctx); err != nil {
+		r.result.Real = &KindResult{Nodes: r.Real, Processes: r.Real}
+		if err := r.startRealNodes(ctx); err != nil {
 			return err
 		}
 	}
 	if r.Hollow == 0 {
 		return nil
 	}
-	r.res.Hollow = &KindResult{Nodes: r.Hollow, Processes: len(r.groups)}
+	r.result.Hollow = &KindResult{Nodes: r.Hollow, Processes: len(r.hollowCounts)}
 	first := r.Real
-	for i, n := range r.groups {
-		c, err := r.child("hollow")
+	for i, n := range r.hollowCounts {
+		c, err := r.addChild("hollow")
 		if err != nil {
 			return err
 		}
-		r.hollow = append(r.hollow, c)
-		args := HollowArgs{Step: r.Step, Seed: r.o.Seed, Port: port, First: first, Count: n,
-			Discovery: r.addresses[r.Real+i], MemoryMB: r.o.MemoryMB}
+		r.hollowProcesses = append(r.hollowProcesses, c)
+		args := HollowArgs{Step: r.Step, Seed: r.options.Seed, Port: port, First: first, Count: n,
+			Discovery: r.registryAddresses[r.Real+i], MemoryMB: r.options.MemoryMB}
 		if err := c.call(ctx, "Child.Start", args, nil); err != nil {
 			return err
 		}
@@ -312,18 +323,20 @@
 	return nil
 }
 
-func (r *stepRun) startReal(ctx context.Context) error {
+// startRealNodes starts the real nodes one after another, each once the one before is ready, and records the cost of
+// their start.
+func (r *stepRun) startRealNodes(ctx context.Context) error {
 	ready, cpu, logs := histogram(), histogram(), histogram()
 	for i := range r.Real {
-		n, err := newRealNode(r.o.NodeBinary, r.temp, r.world, i, r.addresses[i], r.o.MemoryMB)
+		n, err := newRealNode(r.options.NodeBinary, r.tempDir, r.world, i, r.registryAddresses[i], r.options.MemoryMB)
 		if err != nil {
 			return err
 		}
 		r.mu.Lock()
-		r.real = append(r.real, n)
+		r.realNodes = append(r.realNodes, n)
 		r.mu.Unlock()
 		began := time.Now()
-		if err := n.start(r.temp); err != nil {
+		if err := n.start(r.tempDir); err != nil {
 			return err
 		}
 		if err := n.awaitReady(ctx); err != nil {
@@ -335,273 +348,286 @@
 		}
 		record(logs, n.log.Load())
 	}
-	r.res.Real.StartToReady, r.res.Real.StartCPU, r.res.Real.StartLog = spread(ready, 1e-3), spread(cpu, 1e-3), spread(logs, 1)
+	r.result.Real.StartToReady, r.result.Real.StartCPU, r.result.Real.StartLog =
+		spread(ready, 1e-3), spread(cpu, 1e-3), spread(logs, 1)
 	return nil
 }
 
-func (r *stepRun) loads() bool { return r.Real > 0 && r.RequestRate > 0 && r.Loaded.Duration > 0 }
+// sendsRequests reports whether the step sends requests.
+func (r *stepRun) sendsRequests() bool {
+	return r.Real > 0 && r.RequestRate > 0 && r.Loaded.Duration > 0
+}
 
-// measure goes through the parts of the step.
+// measure runs the quiet part and the loaded part of the step, with its faults, and records the results.
 func (r *stepRun) measure(ctx context.Context) (err error) {
 	if err := r.awaitNodes(ctx); err != nil {
 		return err
 	}
-	s0, err := r.snapshot(ctx)
+	atStart, err := r.takeSnapshot(ctx)
 	if err != nil {
 		return err
 	}
-	if err := r.registry.call(ctx, "Child.ChangeFor", r.changing(), nil); err != nil {
+	if err := r.registry.call(ctx, "Child.ChangeFor", r.changeArgs(), nil); err != nil {
 		return err
 	}
 	var faults sync.WaitGroup
 	defer func() {
-		if err != nil { // no more faults
+		if err != nil { // start no further faults
 			r.cancel(err)
 		}
 		faults.Wait()
 	}()
-	for _, f := range r.Faults {
+	for _, fault := range r.Faults {
 		faults.Go(func() {
-			if sleep(ctx, time.Until(s0.at.Add(f.At.Duration))) != nil {
+			if sleep(ctx, time.Until(atStart.at.Add(fault.At.Duration))) != nil {
 				return
 			}
-			slog.Info("fault", "kind", f.Kind)
-			if err := r.carryOut(ctx, f); err != nil {
-				r.cancel(fmt.Errorf("fault %s: %w", f.Kind, err))
+			slog.Info("fault", "kind", fault.Kind)
+			if err := r.injectFault(ctx, fault); err != nil {
+				r.cancel(fmt.Errorf("fault %s: %w", fault.Kind, err))
 			}
 		})
 	}
-	if err := sleep(ctx, time.Until(s0.at.Add(r.Quiet.Duration))); err != nil {
+	if err := sleep(ctx, time.Until(atStart.at.Add(r.Quiet.Duration))); err != nil {
 		return err
 	}
-	s1, err := r.snapshot(ctx)
+	afterQuiet, err := r.takeSnapshot(ctx)
 	if err != nil {
 		return err
 	}
-	r.quiet(s0, s1)
-	s2 := s1
+	r.recordQuietPart(atStart, afterQuiet)
+	afterLoad := afterQuiet
 	if r.Loaded.Duration > 0 {
-		l := &load{added: histogram()}
+		generator := &loadGenerator{addedLatency: histogram()}
 		var clients sync.WaitGroup
-		if r.loads() {
-			r.sendLoad(ctx, l, &clients)
+		if r.sendsRequests() {
+			r.startClients(ctx, generator, &clients)
 		}
-		err := sleep(ctx, time.Until(s1.at.Add(r.Loaded.Duration)))
+		err := sleep(ctx, time.Until(afterQuiet.at.Add(r.Loaded.Duration)))
 		if err == nil {
-			s2, err = r.snapshot(ctx)
+			afterLoad, err = r.takeSnapshot(ctx)
 		}
 		clients.Wait()
 		if err != nil {
 			return err
 		}
-		r.loaded(ctx, l, s0, s1, s2)
+		r.recordLoadedPart(ctx, generator, atStart, afterQuiet, afterLoad)
 	}
 	faults.Wait()
-	if err := r.settle(ctx, s0, s1, s2); err != nil {
+	if err := r.recordPropagation(ctx, atStart, afterQuiet, afterLoad); err != nil {
 		return err
 	}
-	for _, n := range r.real {
+	for _, n := range r.realNodes {
 		if err := n.crashed(); err != nil {
 			return err
 		}
 	}
-	return r.endOfStep(ctx)
+	return r.recordTotals(ctx)
 }
 
-func (r *stepRun) changing() ChangeArgs {
+// changeArgs returns the changes that the registry makes during the step.
+func (r *stepRun) changeArgs() ChangeArgs {
 	return ChangeArgs{Rate: r.ChangeRate, For: r.Quiet.Duration + r.Loaded.Duration}
 }
 
-// awaitNodes waits until each node has a list in force and has asked discovery, and rests.
+// awaitNodes waits until every node has a list in force and has called discovery, and then for quietStartDelay.
 func (r *stepRun) awaitNodes(ctx context.Context) error {
 	for {
-		var c RegistryCost
-		if err := r.registry.call(ctx, "Child.Cost", struct{}{}, &c); err != nil {
+		var cost RegistryCost
+		if err := r.registry.call(ctx, "Child.Cost", struct{}{}, &cost); err != nil {
 			return err
 		}
-		asked := len(c.Stats) >= r.Real+len(r.groups)
-		for i, s := range c.Stats {
+		called := len(cost.Stats) >= r.Real+len(r.hollowCounts)
+		for i, stats := range cost.Stats {
 			want := 1
-			if i >= r.Real && i-r.Real < len(r.groups) {
-				want = r.groups[i-r.Real]
+			if i >= r.Real && i-r.Real < len(r.hollowCounts) {
+				want = r.hollowCounts[i-r.Real]
 			}
-			// Calls alone would not do: some nodes have made two while others wait for their turn to begin.
-			asked = asked && (s.WatchCalls+s.WholeCalls >= int64(want) && s.Open >= int64(want) || r.Real+len(r.groups) == 0)
+			// The number of calls does not suffice: a node may have made two while another has yet to start. So each
+			// node must also have a connection open.
+			called = called && (stats.WatchCalls+stats.WholeCalls >= int64(want) &&
+				stats.Open >= int64(want) || r.Real+len(r.hollowCounts) == 0)
 		}
 		inForce, err := r.inForceEverywhere(ctx, 0)
 		if err != nil {
 			return err
 		}
-		if asked && inForce {
-			return sleep(ctx, restFor)
+		if called && inForce {
+			return sleep(ctx, quietStartDelay)
 		}
-		if err := sleep(ctx, lookEvery); err != nil {
+		if err := sleep(ctx, pollInterval); err != nil {
 			return err
 		}
 	}
 }
 
-// inForceEverywhere tells whether every node has a list of this revision or a newer one in force.
+// inForceEverywhere reports whether every node has a list of this revision or a later one in force.
 func (r *stepRun) inForceEverywhere(ctx context.Context, revision int64) (bool, error) {
-	for _, n := range r.real {
-		if n.seen.count() == 0 || n.seen.last() < revision {
+	for _, n := range r.realNodes {
+		if n.history.count() == 0 || n.history.lastRevision() < revision {
 			return false, nil
 		}
 	}
-	for i, c := range r.hollow {
+	for i, c := range r.hollowProcesses {
 		var cost HollowCost
 		if err := c.call(ctx, "Child.Cost", revision, &cost); err != nil {
 			return false, err
 		}
-		if cost.Ready < r.groups[i] {
+		if cost.Ready < r.hollowCounts[i] {
 			return false, nil
 		}
 	}
 	return true, nil
 }
 
-func (r *stepRun) snapshot(ctx context.Context) (s snapshot, err error) {
+// takeSnapshot reads the resource use of all nodes and of the registry.
+func (r *stepRun) takeSnapshot(ctx context.Context) (s usageSnapshot, err error) {
 	s.at = time.Now()
-	for _, n := range r.real {
+	for _, n := range r.realNodes {
 		cpu, err := n.cpu()
 		if err != nil {
 			return s, err
 		}
-		s.real += cpu
+		s.realCPU += cpu
 	}
-	for _, c := range r.hollow {
+	for _, c := range r.hollowProcesses {
 		var cost HollowCost
 		if err := c.call(ctx, "Child.Cost", int64(0), &cost); err != nil {
 			return s, err
 		}
-		s.hollow += cost.CPU
-		s.logs += cost.Log
+		s.hollowCPU += cost.CPU
+		s.hollowLogBytes += cost.Log
 	}
 	err = r.registry.call(ctx, "Child.Cost", struct{}{}, &s.registry)
 	return s, err
 }
 
-// quiet notes the quiet part's figures.
-func (r *stepRun) quiet(from, to snapshot) {
+// recordQuietPart computes the results of the quiet part.
+func (r *stepRun) recordQuietPart(from, to usageSnapshot) {
 	seconds := to.at.Sub(from.at).Seconds()
 	if seconds <= 0 || r.Quiet.Duration <= 0 {
 		return
 	}
-	if k := r.res.Real; k != nil {
-		k.Quiet = part(from, to, r.Real, 0, r.Real)
-		k.ControlCPU = ptr(round((to.real - from.real).Seconds() / seconds / float64(r.Real)))
+	if k := r.result.Real; k != nil {
+		k.Quiet = newPartResult(from, to, r.Real, 0, r.Real)
+		k.ControlCPU = ptr(round((to.realCPU - from.realCPU).Seconds() / seconds / float64(r.Real)))
 		k.Quiet.CPU = k.ControlCPU
 		resting := histogram()
-		for _, n := range r.real {
+		for _, n := range r.realNodes {
 			if rss, err := n.memory("VmRSS"); err == nil {
 				record(resting, rss>>10)
 			}
 		}
 		k.Resting = spread(resting, 1./(1<<10))
 	}
-	if k := r.res.Hollow; k != nil {
-		k.Quiet = part(from, to, r.Hollow, r.Real, len(r.addresses))
-		k.ControlCPU = ptr(round((to.hollow - from.hollow).Seconds() / seconds / float64(r.Hollow)))
+	if k := r.result.Hollow; k != nil {
+		k.Quiet = newPartResult(from, to, r.Hollow, r.Real, len(r.registryAddresses))
+		k.ControlCPU = ptr(round((to.hollowCPU - from.hollowCPU).Seconds() / seconds / float64(r.Hollow)))
 		k.Quiet.CPU = k.ControlCPU
 	}
 	cpu := (to.registry.CPU - from.registry.CPU).Seconds()
-	r.res.Registry = &RegistryResult{CPU: ptr(round(cpu / seconds))}
+	r.result.Registry = &RegistryResult{CPU: ptr(round(cpu / seconds))}
 	if n := r.Real + r.Hollow; n > 0 {
-		r.res.Registry.NodeCPU = ptr(round(cpu / seconds / float64(n)))
+		r.result.Registry.NodeCPU = ptr(round(cpu / seconds / float64(n)))
 	}
 	if n := r.ChangeRate * r.Quiet.Seconds(); n >= 1 {
-		r.res.Registry.ChangeCPU = ptr(round(cpu / n * 1e3))
+		r.result.Registry.ChangeCPU = ptr(round(cpu / n * 1e3))
 	}
 }
 
-// part sums up the listeners from first to before end, for each of n nodes.
-func part(from, to snapshot, n, first, end int) *PartResult {
-	var d RegistryStats
+// newPartResult sums the traffic at the listeners from first up to, but not including, end. It returns the rates per
+// second for each of the n nodes behind them. Bytes into a node are those that the registry sent.
+func newPartResult(from, to usageSnapshot, n, first, end int) *PartResult {
+	var total RegistryStats
 	for i := first; i < end; i++ {
 		a, b := from.registry.Stats[i], to.registry.Stats[i]
-		d.BytesIn += b.BytesIn - a.BytesIn
-		d.BytesOut += b.BytesOut - a.BytesOut
-		d.DeltaBytes += b.DeltaBytes - a.DeltaBytes
-		d.WholeBytes += b.WholeBytes - a.WholeBytes
-		d.Connections += b.Connections - a.Connections
-		d.WatchCalls += b.WatchCalls - a.WatchCalls
-		d.WholeCalls += b.WholeCalls - a.WholeCalls
-		d.Deltas += b.Deltas - a.Deltas
-		d.EmptyDeltas += b.EmptyDeltas - a.EmptyDeltas
-		d.WholeLists += b.WholeLists - a.WholeLists
-		d.Failures += b.Failures - a.Failures
+		total.BytesIn += b.BytesIn - a.BytesIn
+		total.BytesOut += b.BytesOut - a.BytesOut
+		total.DeltaBytes += b.DeltaBytes - a.DeltaBytes
+		total.WholeBytes += b.WholeBytes - a.WholeBytes
+		total.Connections += b.Connections - a.Connections
+		total.WatchCalls += b.WatchCalls - a.WatchCalls
+		total.WholeCalls += b.WholeCalls - a.WholeCalls
+		total.Deltas += b.Deltas - a.Deltas
+		total.EmptyDeltas += b.EmptyDeltas - a.EmptyDeltas
+		total.WholeLists += b.WholeLists - a.WholeLists
+		total.Failures += b.Failures - a.Failures
 	}
 	seconds := to.at.Sub(from.at).Seconds()
-	each := func(v int64) float64 { return round(float64(v) / float64(n) / seconds) }
-	return &PartResult{Seconds: round(seconds), BytesIn: each(d.BytesOut), BytesOut: each(d.BytesIn),
-		DeltaBytes: each(d.DeltaBytes), WholeBytes: each(d.WholeBytes), Connections: each(d.Connections),
-		WatchCalls: each(d.WatchCalls), WholeCalls: each(d.WholeCalls), Deltas: each(d.Deltas),
-		EmptyDeltas: each(d.EmptyDeltas), WholeLists: each(d.WholeLists), Failures: each(d.Failures)}
+	rate := func(v int64) float64 { return round(float64(v) / float64(n) / seconds) }
+	return &PartResult{Seconds: round(seconds), BytesIn: rate(total.BytesOut), BytesOut: rate(total.BytesIn),
+		DeltaBytes: rate(total.DeltaBytes), WholeBytes: rate(total.WholeBytes), Connections: rate(total.Connections),
+		WatchCalls: rate(total.WatchCalls), WholeCalls: rate(total.WholeCalls), Deltas: rate(total.Deltas),
+		EmptyDeltas: rate(total.EmptyDeltas), WholeLists: rate(total.WholeLists), Failures: rate(total.Failures)}
 }
 
-// sendLoad starts the clients of all real nodes.
-func (r *stepRun) sendLoad(ctx context.Context, l *load, clients *sync.WaitGroup) {
+// startClients starts sending requests to every real node.
+func (r *stepRun) startClients(ctx context.Context, generator *loadGenerator, clients *sync.WaitGroup) {
 	deadlines := make(map[string]time.Duration)
-	for _, c := range r.set.Classes {
+	for _, c := range r.settings.Classes {
 		deadlines[c.Name] = c.Deadline
 	}
-	for i, n := range r.real {
+	for i, n := range r.realNodes {
 		clients.Go(func() {
-			l.loadNode(ctx, n.listen, r.world.Request, deadlines, r.RequestRate, r.Loaded.Duration, r.o.Seed+uint64(i))
+			generator.sendRequests(ctx, n.listen, r.world.DrawRequest, deadlines,
+				r.RequestRate, r.Loaded.Duration, r.options.Seed+uint64(i))
 		})
 	}
 }
 
-// loaded notes the loaded part's figures.
-func (r *stepRun) loaded(ctx context.Context, l *load, s0, s1, s2 snapshot) {
-	seconds, quiet := s2.at.Sub(s1.at).Seconds(), s1.at.Sub(s0.at).Seconds()
-	if k := r.res.Real; k != nil {
-		k.Loaded = part(s1, s2, r.Real, 0, r.Real)
-		k.Loaded.CPU = ptr(round((s2.real - s1.real).Seconds() / seconds / float64(r.Real)))
-		if l.sum.Sent > 0 && r.Quiet.Duration > 0 {
-			extra := (s2.real - s1.real).Seconds() - (s1.real-s0.real).Seconds()*seconds/quiet
-			k.RequestCPU = ptr(round(extra / float64(l.sum.Sent) * 1e3))
+// recordLoadedPart computes the results of the loaded part.
+func (r *stepRun) recordLoadedPart(ctx context.Context, generator *loadGenerator,
+	atStart, afterQuiet, afterLoad usageSnapshot) {
+	seconds, quiet := afterLoad.at.Sub(afterQuiet.at).Seconds(), afterQuiet.at.Sub(atStart.at).Seconds()
+	if k := r.result.Real; k != nil {
+		k.Loaded = newPartResult(afterQuiet, afterLoad, r.Real, 0, r.Real)
+		k.Loaded.CPU = ptr(round((afterLoad.realCPU - afterQuiet.realCPU).Seconds() / seconds / float64(r.Real)))
+		if generator.result.Sent > 0 && r.Quiet.Duration > 0 {
+			extra := (afterLoad.realCPU - afterQuiet.realCPU).Seconds() -
+				(afterQuiet.realCPU-atStart.realCPU).Seconds()*seconds/quiet
+			k.RequestCPU = ptr(round(extra / float64(generator.result.Sent) * 1e3))
 		}
 	}
-	if k := r.res.Hollow; k != nil {
-		k.Loaded = part(s1, s2, r.Hollow, r.Real, len(r.addresses))
-		k.Loaded.CPU = ptr(round((s2.hollow - s1.hollow).Seconds() / seconds / float64(r.Hollow)))
+	if k := r.result.Hollow; k != nil {
+		k.Loaded = newPartResult(afterQuiet, afterLoad, r.Hollow, r.Real, len(r.registryAddresses))
+		k.Loaded.CPU = ptr(round((afterLoad.hollowCPU - afterQuiet.hollowCPU).Seconds() / seconds / float64(r.Hollow)))
 	}
-	if !r.loads() {
+	if !r.sendsRequests() {
 		return
 	}
-	r.res.Load = &l.sum
+	r.result.Load = &generator.result
 	if r.RequestRate*float64(r.Real) <= tenantMeanRate*float64(r.Tenants) {
-		l.sum.RefusedWithin = &l.sum.Refused
+		generator.result.RefusedWithin = &generator.result.Refused
 	}
-	l.sum.Added = spread(l.added, 1e-3)
-	var st TranscriberStats
-	if err := r.transcribers.call(ctx, "Child.Stats", struct{}{}, &st); err == nil {
-		l.sum.Transcribers = &st.Requests
+	generator.result.Added = spread(generator.addedLatency, 1e-3)
+	var stats TranscriberStats
+	if err := r.transcribers.call(ctx, "Child.Stats", struct{}{}, &stats); err == nil {
+		generator.result.Transcribers = &stats.Requests
 	}
 }
 
-// settle waits for the last change, and notes how long the changes of each part took.
-func (r *stepRun) settle(ctx context.Context, s0, s1, s2 snapshot) error {
-	var changes []revisionAt
-	for { // the last of them may be late where the machine is busy
+// recordPropagation waits until the last change is in force at every node, for at most convergenceTimeout, and
+// records how long the changes of each part took to be in force.
+func (r *stepRun) recordPropagation(ctx context.Context, atStart, afterQuiet, afterLoad usageSnapshot) error {
+	var changes []revisionTime
+	for { // on a busy machine, the last changes may be made late
 		if err := r.registry.call(ctx, "Child.Changes", struct{}{}, &changes); err != nil {
 			return err
 		}
-		if len(changes) >= r.changing().count()+r.faulty {
+		if len(changes) >= r.changeArgs().count()+r.faultChanges {
 			break
 		}
-		if err := sleep(ctx, lookEvery); err != nil {
+		if err := sleep(ctx, pollInterval); err != nil {
 			return err
 		}
 	}
 	if len(changes) > 0 {
 		last := changes[len(changes)-1]
-		late := time.Unix(0, last.At)
-		if now := time.Now(); now.After(late) {
-			late = now
+		deadline := time.Unix(0, last.At)
+		if now := time.Now(); now.After(deadline) {
+			deadline = now
 		}
-		for late = late.Add(settleFor); time.Now().Before(late); {
+		for deadline = deadline.Add(convergenceTimeout); time.Now().Before(deadline); {
 			done, err := r.inForceEverywhere(ctx, last.Revision)
 			if err != nil {
 				return err
@@ -609,67 +635,68 @@
 			if done {
 				break
 			}
-			if err := sleep(ctx, lookEvery); err != nil {
+			if err := sleep(ctx, pollInterval); err != nil {
 				return err
 			}
 		}
 	}
-	n := slices.IndexFunc(changes, func(c revisionAt) bool { return c.At >= s1.at.UnixNano() })
-	if n < 0 {
-		n = len(changes)
+	firstLoaded := slices.IndexFunc(changes, func(c revisionTime) bool { return c.At >= afterQuiet.at.UnixNano() })
+	if firstLoaded < 0 {
+		firstLoaded = len(changes)
 	}
 	for _, p := range []struct {
-		changes []revisionAt
+		changes []revisionTime
 		of      func(*KindResult) *PartResult
 	}{
-		{changes[:n], func(k *KindResult) *PartResult { return k.Quiet }},
-		{changes[n:], func(k *KindResult) *PartResult { return k.Loaded }},
+		{changes[:firstLoaded], func(k *KindResult) *PartResult { return k.Quiet }},
+		{changes[firstLoaded:], func(k *KindResult) *PartResult { return k.Loaded }},
 	} {
-		if k := r.res.Real; k != nil && p.of(k) != nil && len(p.changes) > 0 {
-			h, never := histogram(), int64(0)
-			for _, node := range r.real {
-				never += node.seen.delays(p.changes, h)
+		if k := r.result.Real; k != nil && p.of(k) != nil && len(p.changes) > 0 {
+			h, notInForce := histogram(), int64(0)
+			for _, node := range r.realNodes {
+				notInForce += node.history.recordDelays(p.changes, h)
 			}
-			p.of(k).Changes, p.of(k).InForce, p.of(k).NotInForce = len(p.changes), spread(h, 1e-3), &never
+			p.of(k).Changes, p.of(k).InForce, p.of(k).NotInForce = len(p.changes), spread(h, 1e-3), &notInForce
 		}
-		if k := r.res.Hollow; k != nil && p.of(k) != nil && len(p.changes) > 0 {
-			h, never := histogram(), int64(0)
-			for _, c := range r.hollow {
+		if k := r.result.Hollow; k != nil && p.of(k) != nil && len(p.changes) > 0 {
+			h, notInForce := histogram(), int64(0)
+			for _, c := range r.hollowProcesses {
 				var reply DelaysReply
 				if err := c.call(ctx, "Child.Delays", p.changes, &reply); err != nil {
 					return err
 				}
-				one, err := hdrhistogram.Decode(reply.Delays)
+				delays, err := hdrhistogram.Decode(reply.Delays)
 				if err != nil {
 					return fmt.Errorf("hollow: delays: %w", err)
 				}
-				h.Merge(one)
-				never += reply.Never
+				h.Merge(delays)
+				notInForce += reply.Never
 			}
-			p.of(k).Changes, p.of(k).InForce, p.of(k).NotInForce = len(p.changes), spread(h, 1e-3), &never
+			p.of(k).Changes, p.of(k).InForce, p.of(k).NotInForce = len(p.changes), spread(h, 1e-3), &notInForce
 		}
 	}
 	return nil
 }
 
-// endOfStep notes what can be read once all else is measured.
-func (r *stepRun) endOfStep(ctx context.Context) error {
-	if k := r.res.Real; k != nil {
-		peak, logs := histogram(), int64(0)
-		for _, n := range r.real {
-			logs += n.log.Load()
+// recordTotals records what is read only at the end of the step: peak memory, bytes logged, restart times and the
+// memory of the hollow nodes.
+func (r *stepRun) recordTotals(ctx context.Context) error {
+	if k := r.result.Real; k != nil {
+		peak, logBytes := histogram(), int64(0)
+		for _, n := range r.realNodes {
+			logBytes += n.log.Load()
 			if hwm, err := n.memory("VmHWM"); err == nil {
 				record(peak, hwm>>10)
 			}
 		}
-		k.Peak, k.LogBytes = spread(peak, 1./(1<<10)), ptr(round(float64(logs)/float64(r.Real)))
+		k.Peak, k.LogBytes = spread(peak, 1./(1<<10)), ptr(round(float64(logBytes)/float64(r.Real)))
 		r.mu.Lock()
-		k.AgainToReady = spread(r.again, 1e-3)
+		k.AgainToReady = spread(r.restartToReady, 1e-3)
 		r.mu.Unlock()
 	}
-	if k := r.res.Hollow; k != nil {
+	if k := r.result.Hollow; k != nil {
 		var sum HollowCost
-		for _, c := range r.hollow {
+		for _, c := range r.hollowProcesses {
 			var memory, cost HollowCost
 			if err := c.call(ctx, "Child.Cost", int64(0), &cost); err != nil {
 				return err
@@ -681,51 +708,51 @@
 			sum.Heap += memory.Heap
 			sum.RSS += memory.RSS
 		}
-		each := func(v int64, unit float64) *float64 { return ptr(round(float64(v) * unit / float64(r.Hollow))) }
-		k.Memory, k.Heap, k.LogBytes = each(sum.RSS, 1./(1<<20)), each(sum.Heap, 1./(1<<20)), each(sum.Log, 1)
+		perNode := func(v int64, unit float64) *float64 { return ptr(round(float64(v) * unit / float64(r.Hollow))) }
+		k.Memory, k.Heap, k.LogBytes = perNode(sum.RSS, 1./(1<<20)), perNode(sum.Heap, 1./(1<<20)), perNode(sum.Log, 1)
 	}
 	return nil
 }
 
-// carryOut makes something go wrong.
-func (r *stepRun) carryOut(ctx context.Context, f Fault) error {
-	if f.Kind != RestartWave {
+// injectFault carries out a fault. For a restart wave, it returns once the restarted real nodes are ready.
+func (r *stepRun) injectFault(ctx context.Context, fault Fault) error {
+	if fault.Kind != RestartWave {
 		changes := 0
-		err := r.registry.call(ctx, "Child.Fail", f, &changes)
+		err := r.registry.call(ctx, "Child.Fail", fault, &changes)
 		r.mu.Lock()
 		defer r.mu.Unlock()
-		r.faulty += changes
+		r.faultChanges += changes
 		return err
 	}
-	failed := make(chan error, len(r.real)+len(r.hollow))
-	for _, c := range r.hollow {
-		go func() { failed <- c.call(ctx, "Child.Restart", f.Part, nil) }()
+	results := make(chan error, len(r.realNodes)+len(r.hollowProcesses))
+	for _, c := range r.hollowProcesses {
+		go func() { results <- c.call(ctx, "Child.Restart", fault.Part, nil) }()
 	}
-	some := r.real[:wave(f.Part, len(r.real))]
-	for _, n := range some {
+	restarted := r.realNodes[:waveSize(fault.Part, len(r.realNodes))]
+	for _, n := range restarted {
 		go func() {
 			n.kill()
 			began := time.Now()
-			err := n.start(r.temp)
+			err := n.start(r.tempDir)
 			if err == nil {
 				err = n.awaitReady(ctx)
 			}
 			if err == nil {
 				r.mu.Lock()
-				record(r.again, time.Since(began).Microseconds())
+				record(r.restartToReady, time.Since(began).Microseconds())
 				r.mu.Unlock()
 			}
-			failed <- err
+			results <- err
 		}()
 	}
 	var err error
-	for range len(r.hollow) + len(some) {
-		err = errors.Join(err, <-failed)
+	for range len(r.hollowProcesses) + len(restarted) {
+		err = errors.Join(err, <-results)
 	}
 	return err
 }
 
-// sleep waits for d, or for ctx.
+// sleep waits for d, or until ctx ends, in which case it returns the cause.
 func sleep(ctx context.Context, d time.Duration) error {
 	t := time.NewTimer(d)
 	defer t.Stop()
--- a/internal/scale/run_test.go
+++ b/internal/scale/run_test.go
@@ -9,9 +9,9 @@
 	"time"
 )
 
-func TestLogLinesTellWhichListIsInForce(t *testing.T) {
+func TestParseInForceReadsRevisionAndTime(t *testing.T) {
 	at := time.Date(2026, 12, 2, 4, 11, 15, 123e6, time.UTC).UnixNano()
-	for line, want := range map[string]revisionAt{
+	for line, want := range map[string]revisionTime{
 		`time=2026-12-02T04:11:15.123Z level=INFO msg="list: in force" revision=42 entries=1`:      {42, at},
 		`time=2026-12-02T05:11:15.123+01:00 level=INFO msg="list: in force" entries=1 revision=42`: {42, at},
 		`time=2026-12-02T04:11:15.123Z level=INFO msg="list: servers leave" revision=42`:           {},
@@ -20,103 +20,103 @@
 		``: {},
 	} {
 		got, ok := parseInForce([]byte(line + "\n"))
-		if got != want || ok != (want != revisionAt{}) {
+		if got != want || ok != (want != revisionTime{}) {
 			t.Errorf("%q: got %v, %t, want %v", line, got, ok, want)
 		}
 	}
 }
 
-func TestAChangeIsInForceWithTheFirstListThatHasIt(t *testing.T) {
+func TestDelayEndsAtFirstListWithTheChange(t *testing.T) {
 	const ms = int64(time.Millisecond)
-	s := sightings{all: []revisionAt{{1, 0}, {3, 30 * ms}, {1, 50 * ms}, {4, 70 * ms}}} // started again at 50 ms
+	s := revisionHistory{entries: []revisionTime{{1, 0}, {3, 30 * ms}, {1, 50 * ms}, {4, 70 * ms}}} // the node restarted at 50 ms
 	h := histogram()
-	never := s.delays([]revisionAt{{2, 10 * ms}, {3, 29 * ms}, {4, 40 * ms}, {5, 60 * ms}}, h)
-	if never != 1 || h.TotalCount() != 3 {
-		t.Fatalf("%d changes in force and %d never, want 3 and 1", h.TotalCount(), never)
+	notInForce := s.recordDelays([]revisionTime{{2, 10 * ms}, {3, 29 * ms}, {4, 40 * ms}, {5, 60 * ms}}, h)
+	if notInForce != 1 || h.TotalCount() != 3 {
+		t.Fatalf("got %d changes in force and %d never in force, want 3 and 1", h.TotalCount(), notInForce)
 	}
 	for at, want := range map[float64]int64{1: 1_000, 50: 20_000, 100: 30_000} {
 		if got := h.ValueAtQuantile(at); !h.ValuesAreEquivalent(got, want) {
-			t.Errorf("at %g%%: %d us, want %d", at, got, want)
+			t.Errorf("percentile %g: got %d us, want %d", at, got, want)
 		}
 	}
 }
 
-func TestATimeThatTheLogRoundedDownIsNotBeforeTheChange(t *testing.T) {
-	s := sightings{all: []revisionAt{{2, 5_000_000}}}
+func TestDelayAllowsForRoundedLogTime(t *testing.T) {
+	s := revisionHistory{entries: []revisionTime{{2, 5_000_000}}}
 	h := histogram()
-	if never := s.delays([]revisionAt{{2, 5_900_000}}, h); never != 0 || h.TotalCount() != 1 || h.Max() != 0 {
-		t.Errorf("%d never in force, and %d at once, want 0 and 1", never, h.TotalCount())
+	if notInForce := s.recordDelays([]revisionTime{{2, 5_900_000}}, h); notInForce != 0 || h.TotalCount() != 1 || h.Max() != 0 {
+		t.Errorf("got %d changes never in force and %d recorded, want 0 and 1, without delay", notInForce, h.TotalCount())
 	}
 }
 
-func TestProcFieldsAreReadInBytes(t *testing.T) {
+func TestParseKBReturnsBytes(t *testing.T) {
 	const status = "Name:\twayhold\nVmHWM:\t   25780 kB\nVmRSS:\t   14112 kB\nThreads:\t9\n"
 	if n, err := parseKB(status, "VmHWM"); n != 25780<<10 || err != nil {
 		t.Errorf("got %d, %v, want %d", n, err, 25780<<10)
 	}
 	for _, name := range []string{"VmSwap", "Name"} {
 		if _, err := parseKB(status, name); err == nil || !strings.Contains(err.Error(), name) {
-			t.Errorf("%s: got %v, want an error that names it", name, err)
+			t.Errorf("%s: got error %v, want one that names the field", name, err)
 		}
 	}
 }
 
-func TestAProcessHasItsOwnCPUTime(t *testing.T) {
+func TestCPUTimeOfProcess(t *testing.T) {
 	if own, err := cpuOf(os.Getpid()); err != nil || own <= 0 {
-		t.Errorf("got %v, %v, want some time", own, err)
+		t.Errorf("got %v, %v, want a CPU time above 0", own, err)
 	}
-	if _, err := cpuOf(1 << 22); err == nil { // above what the kernel gives out
-		t.Error("a process that isn't there has a CPU time")
+	if _, err := cpuOf(1 << 22); err == nil { // above the highest process ID of the kernel
+		t.Error("got a CPU time for a process that does not exist")
 	}
 }
 
-func TestPartsAreForANodeAndSecond(t *testing.T) {
+func TestPartRatesArePerNodeAndSecond(t *testing.T) {
 	at := time.Unix(100, 0)
-	from := snapshot{at: at, registry: RegistryCost{Stats: make([]RegistryStats, 3)}}
-	to := snapshot{at: at.Add(2 * time.Second), registry: RegistryCost{Stats: []RegistryStats{
+	from := usageSnapshot{at: at, registry: RegistryCost{Stats: make([]RegistryStats, 3)}}
+	to := usageSnapshot{at: at.Add(2 * time.Second), registry: RegistryCost{Stats: []RegistryStats{
 		{BytesOut: 1 << 40}, {BytesOut: 600, BytesIn: 60, Deltas: 6}, {BytesOut: 200, BytesIn: 20, Failures: 2}}}}
-	got := part(from, to, 4, 1, 3)
+	got := newPartResult(from, to, 4, 1, 3)
 	want := &PartResult{Seconds: 2, BytesIn: 100, BytesOut: 10, Deltas: 0.75, Failures: 0.25}
 	if !reflect.DeepEqual(got, want) {
 		t.Errorf("got %+v, want %+v", got, want)
 	}
 }
 
-func TestStepsAreChosenByNameInThePlansOrder(t *testing.T) {
+func TestSelectStepsKeepsPlanOrder(t *testing.T) {
 	all := []Step{{Name: "a"}, {Name: "b"}, {Name: "c"}}
-	got, err := chosen(all, []string{"c", "a"})
+	got, err := selectSteps(all, []string{"c", "a"})
 	if err != nil || len(got) != 2 || got[0].Name != "a" || got[1].Name != "c" {
-		t.Errorf("got %v, %v, want a and c", got, err)
+		t.Errorf("got %v, %v, want steps a and c", got, err)
 	}
-	if _, err := chosen(all, []string{"d"}); err == nil || !strings.Contains(err.Error(), `"d"`) {
-		t.Errorf("got %v, want an error that names the step", err)
+	if _, err := selectSteps(all, []string{"d"}); err == nil || !strings.Contains(err.Error(), `"d"`) {
+		t.Errorf("got error %v, want one that names the step", err)
 	}
 }
 
-func TestAWaveHasAtLeastOneNode(t *testing.T) {
+func TestWaveSizeIsAtLeastOne(t *testing.T) {
 	for _, c := range []struct {
 		part    float64
 		n, want int
 	}{{0, 5, 0}, {0.01, 5, 1}, {0.5, 5, 3}, {1, 5, 5}, {0.5, 0, 0}} {
-		if got := wave(c.part, c.n); got != c.want {
+		if got := waveSize(c.part, c.n); got != c.want {
 			t.Errorf("%g of %d: got %d, want %d", c.part, c.n, got, c.want)
 		}
 	}
 }
 
-func TestSharesAreTheSameForTheSameSeed(t *testing.T) {
+func TestSharesDependOnlyOnSeed(t *testing.T) {
 	one, err := shareCase(300, 8, 3, 7)
 	if err != nil {
 		t.Fatal(err)
 	}
 	if again, err := shareCase(300, 8, 3, 7); err != nil || again != one {
-		t.Errorf("got %+v, %v, and %+v before", again, err, one)
+		t.Errorf("second run with the same seed: got %+v, %v, want %+v", again, err, one)
 	}
 	if one.Asked == 0 || one.Admitted == 0 || one.Admitted > one.Asked {
-		t.Errorf("%d of %d requests are admitted", one.Admitted, one.Asked)
+		t.Errorf("%d of %d requests admitted, want some and no more than were made", one.Admitted, one.Asked)
 	}
 	if other, err := shareCase(300, 8, 3, 8); err != nil || other == one {
-		t.Errorf("another seed gives the same: %+v, %v", other, err)
+		t.Errorf("another seed: got %+v, %v, want a different result", other, err)
 	}
 }
 
@@ -145,13 +145,13 @@
 figures: median (least..most) over runs
 `
 
-func TestAReportGivesTheMedianAndTheRangeOverRuns(t *testing.T) {
+func TestReportGivesMedianAndRangeOverRuns(t *testing.T) {
 	var out strings.Builder
 	if err := Report(&out, fixedResult()); err != nil {
 		t.Fatal(err)
 	}
 	if !strings.HasPrefix(out.String(), fixedReport) {
-		t.Errorf("got\n%s\nwant it to begin with\n%s", out.String(), fixedReport)
+		t.Errorf("got report\n%s\nwant it to begin with\n%s", out.String(), fixedReport)
 	}
 	var rows []string
 	for _, line := range strings.Split(out.String(), "\n") {
@@ -167,39 +167,39 @@
 		"\nquiet.not_in_force_at_the_end 0 (0..0) -\nregistry\ncpu_core_share 0.25 (0.25..0.25)\n",
 	} {
 		if !strings.Contains(text, want) {
-			t.Errorf("no %q in\n%s", want, text)
+			t.Errorf("%q is missing in\n%s", want, text)
 		}
 	}
 	if strings.Contains(text, "requests_sent") || strings.Contains(text, "peak_memory") {
-		t.Errorf("what wasn't measured is in\n%s", text)
+		t.Errorf("figures that were not measured are in\n%s", text)
 	}
 }
 
-func TestAResultIsReadAsItWasWritten(t *testing.T) {
+func TestResultRoundTrip(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "r.json")
 	if err := WriteResult(path, fixedResult()); err != nil {
 		t.Fatal(err)
 	}
 	if got, err := ReadResult(path); err != nil || !reflect.DeepEqual(got, fixedResult()) {
-		t.Errorf("got %+v, %v", got, err)
+		t.Errorf("got %+v, %v, want what was written", got, err)
 	}
 }
 
-func TestASpreadLeavesOutWhatItsValuesDoNotTell(t *testing.T) {
+func TestSpreadOmitsPercentilesWithTooFewValues(t *testing.T) {
 	h := histogram()
 	if spread(h, 1) != nil {
-		t.Error("a spread of no values")
+		t.Error("got a spread of an empty histogram")
 	}
 	for i := range int64(99) {
 		record(h, 1000*(i+1))
 	}
 	if s := spread(h, 1e-3); s.Count != 99 || s.P50 < 49 || s.P50 > 51 || s.P99 != nil || s.P999 != nil || s.Max < 99 {
-		t.Errorf("of 1 to 99: %+v", s)
+		t.Errorf("99 values from 1 to 99: got %+v", s)
 	}
 	for range 901 {
 		record(h, 1000)
 	}
 	if s := spread(h, 1e-3); s.P99 == nil || s.P999 == nil {
-		t.Errorf("of 1,000 values: %+v", s)
+		t.Errorf("1,000 values: got %+v, want P99 and P999", s)
 	}
 }
--- a/internal/scale/standins_test.go
+++ b/internal/scale/standins_test.go
@@ -51,7 +51,7 @@
 	}()
 	client := &http.Client{Transport: &http.Transport{}}
 	defer client.CloseIdleConnections()
-	awaitTrue(t, "readiness", func() bool {
+	waitUntil(t, "readiness", func() bool {
 		resp, err := client.Get("http://" + addr + "/health/ready")
 		if err != nil {
 			return false
@@ -61,10 +61,10 @@
 	})
 	rng := rand.New(rand.NewPCG(1, 1))
 	revision, _ := r.Change(w.NextChange(rng))
-	awaitTrue(t, "the change's way to the node", func() bool { return r.Stats()[0].Deltas > 0 })
-	class, tenant := w.Request(rng)
+	waitUntil(t, "the change's way to the node", func() bool { return r.Stats()[0].Deltas > 0 })
+	class, tenant := w.DrawRequest(rng)
 	sent := 0
-	awaitTrue(t, "an answer", func() bool { // a busy machine may miss the class's deadline
+	waitUntil(t, "an answer", func() bool { // a busy machine may miss the class's deadline
 		req, err := http.NewRequest(http.MethodGet, "http://"+addr+"/api", nil)
 		if err != nil {
 			t.Fatal(err)
--- a/internal/scale/transcribers.go
+++ b/internal/scale/transcribers.go
@@ -15,56 +15,56 @@
 )
 
 const (
-	maxRequestBody   = 64 << 10 // bytes (PROTOCOL)
-	maxWorkTimes     = 20       // times the mean
-	loopbackDevice   = "lo"
-	maxRequestHeader = 32 << 10 // bytes
+	maxRequestBody            = 64 << 10 // bytes (PROTOCOL)
+	maxProcessingFactor       = 20       // upper bound of a processing time, as a multiple of the mean
+	loopbackDevice            = "lo"
+	transcriberMaxHeaderBytes = 32 << 10 // bytes
 )
 
-// TranscribersConfig is what stands in for transcribers. All Members share one port, at loopback addresses.
+// TranscribersConfig configures Transcribers. All Members have loopback addresses and share one port.
 type TranscribersConfig struct {
-	Members []Entry
-	Work    time.Duration // mean time that a request takes, exponentially distributed
-	Seed    uint64        // of these times
+	Members            []Entry
+	MeanProcessingTime time.Duration // of a request, exponentially distributed; 0: respond at once
+	Seed               uint64        // of the processing times
 }
 
-// TranscriberStats are totals since the start, but for Open.
+// TranscriberStats are totals since the start, except Open.
 type TranscriberStats struct {
 	Requests int64 `json:"requests"`
-	Open     int64 `json:"open"`     // connections, now
+	Open     int64 `json:"open"`     // connections open now
 	Accepted int64 `json:"accepted"` // connections
-	Reached  int64 `json:"reached"`  // transcribers that were ever connected to
+	Reached  int64 `json:"reached"`  // transcribers that have had a connection
 }
 
-// Transcribers stand in for many, each at its own loopback address, behind one listening socket.
+// Transcribers simulates many transcribers, each at its own loopback address, behind one listening socket.
 type Transcribers struct {
-	server *http.Server
-	done   chan struct{}
-	work   time.Duration
+	server             *http.Server
+	done               chan struct{}
+	meanProcessingTime time.Duration
 
 	requests, open, accepted atomic.Int64
 
-	mu      sync.Mutex
-	rng     *rand.Rand
-	reached map[netip.Addr]bool // by the members' addresses: whether it was connected to
-	count   int64               // of these
+	mu           sync.Mutex
+	rng          *rand.Rand
+	reached      map[netip.Addr]bool // keyed by member address; true once it has had a connection
+	reachedCount int64               // true values in reached
 }
 
-// StartTranscribers listens at the port of the members and answers until Close (PROTOCOL, Nodes to
-// transcribers). The socket is bound to the loopback device, as the members' addresses are too many for a
-// socket each; nothing reaches it from outside.
+// StartTranscribers listens on the members' port and serves until Close (PROTOCOL, Nodes to transcribers). There are
+// too many addresses for a socket each, so one wildcard socket is bound to the loopback device, which also makes it
+// unreachable from outside.
 func StartTranscribers(c TranscribersConfig) (*Transcribers, error) {
 	t, port, err := newTranscribers(c)
 	if err != nil {
 		return nil, err
 	}
-	lc := net.ListenConfig{Control: func(_, _ string, raw syscall.RawConn) error {
-		var bound error
-		if err := raw.Control(func(fd uintptr) { bound = syscall.BindToDevice(int(fd), loopbackDevice) }); err != nil {
+	lc := net.ListenConfig{Control: func(_, _ string, rawConn syscall.RawConn) error {
+		var bindErr error
+		if err := rawConn.Control(func(fd uintptr) { bindErr = syscall.BindToDevice(int(fd), loopbackDevice) }); err != nil {
 			return err
 		}
-		if bound != nil {
-			return fmt.Errorf("bind to the device %s: %w", loopbackDevice, bound)
+		if bindErr != nil {
+			return fmt.Errorf("bind to the device %s: %w", loopbackDevice, bindErr)
 		}
 		return nil
 	}}
@@ -72,70 +72,70 @@
 	if err != nil {
 		return nil, fmt.Errorf("transcribers: %w", err)
 	}
-	t.server = &http.Server{Handler: t, ReadHeaderTimeout: headTimeout, IdleTimeout: transcriberIdle,
-		MaxHeaderBytes: maxRequestHeader}
+	t.server = &http.Server{Handler: t, ReadHeaderTimeout: readHeaderTimeout, IdleTimeout: transcriberIdleTimeout,
+		MaxHeaderBytes: transcriberMaxHeaderBytes}
 	t.done = make(chan struct{})
 	go func() {
 		defer close(t.done)
-		t.server.Serve(&memberListener{ln, t}) // its error is that of a closed listener
+		t.server.Serve(&memberListener{ln, t}) // the error only says that the listener was closed
 	}()
 	return t, nil
 }
 
-// newTranscribers checks the members and returns their port.
+// newTranscribers validates the members and returns their common port. It opens no socket.
 func newTranscribers(c TranscribersConfig) (*Transcribers, uint16, error) {
-	t := &Transcribers{work: c.Work, rng: rand.New(rand.NewPCG(c.Seed, 2)),
+	t := &Transcribers{meanProcessingTime: c.MeanProcessingTime, rng: rand.New(rand.NewPCG(c.Seed, 2)),
 		reached: make(map[netip.Addr]bool, len(c.Members))}
 	if len(c.Members) == 0 {
 		return nil, 0, fmt.Errorf("transcribers: members: want 1 or more, got 0")
 	}
 	var port uint16
 	for i, e := range c.Members {
-		at, err := netip.ParseAddrPort(e.HostPort)
-		if err != nil || !at.Addr().Is4() || !at.Addr().IsLoopback() {
+		addrPort, err := netip.ParseAddrPort(e.HostPort)
+		if err != nil || !addrPort.Addr().Is4() || !addrPort.Addr().IsLoopback() {
 			return nil, 0, fmt.Errorf("transcribers: members[%d].host_port: want a loopback address and a port, got %q", i, e.HostPort)
 		}
 		if i == 0 {
-			port = at.Port()
+			port = addrPort.Port()
 		}
-		if at.Port() != port {
+		if addrPort.Port() != port {
 			return nil, 0, fmt.Errorf("transcribers: members[%d].host_port: want port %d as the others, got %q", i, port, e.HostPort)
 		}
-		t.reached[at.Addr()] = false
+		t.reached[addrPort.Addr()] = false
 	}
 	return t, port, nil
 }
 
-// Stats are the totals.
+// Stats returns the totals.
 func (t *Transcribers) Stats() TranscriberStats {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return TranscriberStats{Requests: t.requests.Load(), Open: t.open.Load(), Accepted: t.accepted.Load(),
-		Reached: t.count}
+		Reached: t.reachedCount}
 }
 
-// Close ends the listener and all connections.
+// Close closes the listener and all connections.
 func (t *Transcribers) Close() {
 	t.server.Close()
 	<-t.done
 }
 
-// ServeHTTP answers any request that has an id with the microseconds from its last byte to the answer's
-// first, as held_us. There are no probes.
+// ServeHTTP responds to any request with an X-Request-Id. The body's held_us is the time in microseconds from the
+// request's last byte to the response's first. Probe paths get 404.
 func (t *Transcribers) ServeHTTP(w http.ResponseWriter, req *http.Request) {
 	if _, err := io.Copy(io.Discard, http.MaxBytesReader(w, req.Body, maxRequestBody)); err != nil {
 		http.Error(w, err.Error(), http.StatusBadRequest)
 		return
 	}
-	came := time.Now()
+	received := time.Now()
 	probe := req.Method == http.MethodGet && (req.URL.Path == "/health/live" || req.URL.Path == "/stats")
 	if probe || req.Header.Get("X-Request-Id") == "" {
 		http.NotFound(w, req)
 		return
 	}
 	t.requests.Add(1)
-	if work := t.nextWork(); work > 0 {
-		timer := time.NewTimer(work)
+	if processing := t.drawProcessingTime(); processing > 0 {
+		timer := time.NewTimer(processing)
 		defer timer.Stop()
 		select {
 		case <-timer.C:
@@ -144,20 +144,21 @@
 		}
 	}
 	w.Header().Set("Content-Type", "application/json")
-	fmt.Fprintf(w, `{"held_us":%d}`, time.Since(came).Microseconds())
+	fmt.Fprintf(w, `{"held_us":%d}`, time.Since(received).Microseconds())
 }
 
-func (t *Transcribers) nextWork() time.Duration {
-	if t.work <= 0 {
+// drawProcessingTime draws the processing time of one request.
+func (t *Transcribers) drawProcessingTime() time.Duration {
+	if t.meanProcessingTime <= 0 {
 		return 0
 	}
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	return time.Duration(min(t.rng.ExpFloat64(), maxWorkTimes) * float64(t.work))
+	return time.Duration(min(t.rng.ExpFloat64(), maxProcessingFactor) * float64(t.meanProcessingTime))
 }
 
-// admit tells whether a transcriber is at the address, and counts it as reached.
-func (t *Transcribers) admit(local net.Addr) bool {
+// markReached reports whether the address belongs to a transcriber, and if so counts it as reached.
+func (t *Transcribers) markReached(local net.Addr) bool {
 	tcp, ok := local.(*net.TCPAddr)
 	if !ok {
 		return false
@@ -165,18 +166,18 @@
 	addr := tcp.AddrPort().Addr().Unmap()
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	before, known := t.reached[addr]
-	if known && !before {
+	counted, known := t.reached[addr]
+	if known && !counted {
 		t.reached[addr] = true
-		t.count++
+		t.reachedCount++
 	}
 	return known
 }
 
-// memberListener closes connections to addresses that no transcriber has.
+// memberListener closes connections to addresses that belong to no transcriber, and counts the others.
 type memberListener struct {
 	net.Listener
-	t *Transcribers
+	transcribers *Transcribers
 }
 
 func (l *memberListener) Accept() (net.Conn, error) {
@@ -185,23 +186,24 @@
 		if err != nil {
 			return nil, err
 		}
-		if !l.t.admit(c.LocalAddr()) {
+		if !l.transcribers.markReached(c.LocalAddr()) {
 			c.Close()
 			continue
 		}
-		l.t.accepted.Add(1)
-		l.t.open.Add(1)
-		return &memberConn{Conn: c, t: l.t}, nil
+		l.transcribers.accepted.Add(1)
+		l.transcribers.open.Add(1)
+		return &memberConn{Conn: c, transcribers: l.transcribers}, nil
 	}
 }
 
+// memberConn decrements the count of open connections when it is closed.
 type memberConn struct {
 	net.Conn
-	t    *Transcribers
-	once sync.Once
+	transcribers *Transcribers
+	once         sync.Once
 }
 
 func (c *memberConn) Close() error {
-	c.once.Do(func() { c.t.open.Add(-1) })
+	c.once.Do(func() { c.transcribers.open.Add(-1) })
 	return c.Conn.Close()
 }
--- a/internal/scale/transcribers_test.go
+++ b/internal/scale/transcribers_test.go
@@ -16,7 +16,8 @@
 	"go.uber.org/goleak"
 )
 
-// startTranscribers starts those of a small world, at a port that nothing else took meanwhile.
+// startTranscribers starts the transcribers of a small world. It retries with another port if the chosen one was
+// taken before it could listen.
 func startTranscribers(t *testing.T) (*Transcribers, *World) {
 	t.Helper()
 	for {
@@ -24,7 +25,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		w := NewWorld(worldStep, 1, port)
+		w := NewWorld(testStep, 1, port)
 		tr, err := StartTranscribers(TranscribersConfig{Members: w.Members(), Seed: 1})
 		if err == nil {
 			return tr, w
@@ -35,7 +36,7 @@
 	}
 }
 
-func TestEveryTranscriberAnswersAtItsOwnAddress(t *testing.T) {
+func TestTranscribersAnswerAtOwnAddress(t *testing.T) {
 	defer goleak.VerifyNone(t)
 	tr, w := startTranscribers(t)
 	defer tr.Close()
@@ -66,10 +67,10 @@
 		t.Errorf("got %+v", got)
 	}
 	client.CloseIdleConnections()
-	awaitTrue(t, "the connections' end", func() bool { return tr.Stats().Open == 0 })
+	waitUntil(t, "the connections to close", func() bool { return tr.Stats().Open == 0 })
 }
 
-func TestAConnectionToAnAddressOfNoTranscriberIsClosed(t *testing.T) {
+func TestTranscribersCloseConnectionToUnknownAddress(t *testing.T) {
 	defer goleak.VerifyNone(t)
 	tr, w := startTranscribers(t)
 	defer tr.Close()
@@ -90,7 +91,7 @@
 	}
 }
 
-func TestATakenPortIsAPlainError(t *testing.T) {
+func TestStartTranscribersPortInUse(t *testing.T) {
 	tr, w := startTranscribers(t)
 	defer tr.Close()
 	if _, err := StartTranscribers(TranscribersConfig{Members: w.Members()}); !errors.Is(err, syscall.EADDRINUSE) {
@@ -98,7 +99,7 @@
 	}
 }
 
-func TestMembersThatCannotShareAListenerAreRefused(t *testing.T) {
+func TestStartTranscribersRejectsInvalidMembers(t *testing.T) {
 	for want, addrs := range map[string][]string{
 		"transcribers: members: want 1 or more":                 nil,
 		"transcribers: members[1].host_port: want port 1":       {"127.64.0.1:1", "127.64.0.2:2"},
@@ -114,9 +115,9 @@
 	}
 }
 
-func TestAnswersTakeTheirTimeAndTellIt(t *testing.T) {
+func TestTranscribersReportProcessingTime(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		tr, _, err := newTranscribers(TranscribersConfig{Members: []Entry{{HostPort: "127.64.0.1:1"}}, Work: time.Second, Seed: 1})
+		tr, _, err := newTranscribers(TranscribersConfig{Members: []Entry{{HostPort: "127.64.0.1:1"}}, MeanProcessingTime: time.Second, Seed: 1})
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -132,11 +133,11 @@
 			if err := json.Unmarshal(rec.Body.Bytes(), &got); err != nil {
 				t.Fatal(err)
 			}
-			took := time.Since(before)
-			if got.Held != took.Microseconds() {
-				t.Fatalf("took %v, says %d µs", took, got.Held)
+			elapsed := time.Since(before)
+			if got.Held != elapsed.Microseconds() {
+				t.Fatalf("took %v, reported %d µs", elapsed, got.Held)
 			}
-			sum += took
+			sum += elapsed
 		}
 		if mean := sum / 400; mean < 800*time.Millisecond || mean > 1200*time.Millisecond { // four standard errors, one seed
 			t.Errorf("the mean is %v", mean)
@@ -144,7 +145,7 @@
 	})
 }
 
-func TestProbesAndRequestsWithoutAnIdAreNotFound(t *testing.T) {
+func TestTranscribersRejectProbesAndMissingIDs(t *testing.T) {
 	tr, _, err := newTranscribers(TranscribersConfig{Members: []Entry{{HostPort: "127.64.0.1:1"}}})
 	if err != nil {
 		t.Fatal(err)
--- a/internal/scale/world_test.go
+++ b/internal/scale/world_test.go
@@ -16,29 +16,29 @@
 	"cobaltward/internal/wire"
 )
 
-var worldStep = Step{Nodes: 7, Services: 5, Transcribers: 43, Tenants: 200, Zones: 3}
+var testStep = Step{Nodes: 7, Services: 5, Transcribers: 43, Tenants: 200, Zones: 3}
 
-func smallWorld(seed uint64) *World {
-	w := NewWorld(worldStep, seed, 9000)
+func newTestWorld(seed uint64) *World {
+	w := NewWorld(testStep, seed, 9000)
 	w.Now = func() time.Time { return time.UnixMilli(12345) }
 	return w
 }
 
-func TestAWorldIsMadeOfItsStepAndSeedAlone(t *testing.T) {
-	a, b, other := smallWorld(3), smallWorld(3), smallWorld(4)
+func TestWorldIsDeterministic(t *testing.T) {
+	a, b, other := newTestWorld(3), newTestWorld(3), newTestWorld(4)
 	if !reflect.DeepEqual(a.Members(), b.Members()) {
 		t.Error("members differ")
 	}
 	if reflect.DeepEqual(a.Members(), other.Members()) {
-		t.Error("the seed changes nothing")
+		t.Error("different seeds give the same members")
 	}
 	ra, rb := rand.New(rand.NewPCG(1, 1)), rand.New(rand.NewPCG(1, 1))
 	for range 50 {
 		if x, y := a.NextChange(ra), b.NextChange(rb); !reflect.DeepEqual(x, y) {
 			t.Fatalf("changes differ: %v and %v", x, y)
 		}
-		ca, ta := a.Request(ra)
-		if cb, tb := b.Request(rb); ca != cb || ta != tb {
+		ca, ta := a.DrawRequest(ra)
+		if cb, tb := b.DrawRequest(rb); ca != cb || ta != tb {
 			t.Fatal("requests differ")
 		}
 	}
@@ -51,8 +51,8 @@
 	}
 }
 
-func TestEachTranscriberHasItsIdAddressAndServicesKind(t *testing.T) {
-	w := smallWorld(1)
+func TestWorldMembersHaveDistinctIDsAndAddresses(t *testing.T) {
+	w := newTestWorld(1)
 	ids, addrs, kinds, zones := map[string]int{}, map[string]int{}, map[string]int{}, map[string]int{}
 	for _, e := range w.Members() {
 		ids[e.ID]++
@@ -68,8 +68,8 @@
 	}
 }
 
-func TestANodeTakesItsConfiguration(t *testing.T) {
-	w := smallWorld(1)
+func TestNodeLoadsWorldConfig(t *testing.T) {
+	w := newTestWorld(1)
 	raw, err := w.Config(4, "127.0.0.1:7001", "127.0.0.1:7002", 192)
 	if err != nil {
 		t.Fatal(err)
@@ -93,7 +93,7 @@
 	}
 	s := c.Settings
 	if s.Node != 4 || s.Nodes != 7 || s.Zone != "z02" || !s.Subscribe || len(s.Classes) != 5 || len(s.Tenants) != 200 ||
-		s.Allowed.MaxAttempts != 2 || s.Allowed.ConnIdle != transcriberIdle || s.Rules.DrainGrace != 2*time.Second {
+		s.Allowed.MaxAttempts != 2 || s.Allowed.ConnIdle != transcriberIdleTimeout || s.Rules.DrainGrace != 2*time.Second {
 		t.Errorf("got node %d of %d in %s, %+v, %+v", s.Node, s.Nodes, s.Zone, s.Allowed, s.Rules)
 	}
 	kinds := map[string]bool{}
@@ -105,20 +105,20 @@
 			t.Errorf("%s is served on %v", class.Name, class.Kinds)
 		}
 	}
-	sum, most := 0.0, 0.0
+	sum, largest := 0.0, 0.0
 	for _, tenant := range s.Tenants {
 		if tenant.Quota <= 0 {
 			t.Errorf("tenant %s has the quota %v", tenant.Name, tenant.Quota)
 		}
 		sum += tenant.Quota
-		most = max(most, tenant.Quota)
+		largest = max(largest, tenant.Quota)
 	}
-	if mean := sum / 200; math.Abs(mean-1.4) > 0.001 || most < 3*mean {
-		t.Errorf("quotas: mean %v, largest %v", mean, most)
+	if mean := sum / 200; math.Abs(mean-1.4) > 0.001 || largest < 3*mean {
+		t.Errorf("quotas: mean %v, largest %v", mean, largest)
 	}
-	alone, err := w.Settings(4)
-	if err != nil || !bytes.Contains(raw, alone) {
-		t.Errorf("the settings alone are others: %v", err)
+	settings, err := w.Settings(4)
+	if err != nil || !bytes.Contains(raw, settings) {
+		t.Errorf("Settings differs from the settings in Config: %v", err)
 	}
 	for _, bad := range []int{-1, 7} {
 		if _, err := w.Settings(bad); err == nil || !strings.HasPrefix(err.Error(), "node: want 0 to 6") {
@@ -127,10 +127,10 @@
 	}
 }
 
-func TestNodesAreDealtOutEvenlyOverZones(t *testing.T) {
-	w := smallWorld(1)
+func TestNodesSpreadEvenlyOverZones(t *testing.T) {
+	w := newTestWorld(1)
 	count := map[string]int{}
-	for i := range worldStep.Nodes {
+	for i := range testStep.Nodes {
 		raw, err := w.Settings(i)
 		if err != nil {
 			t.Fatal(err)
@@ -146,8 +146,8 @@
 	}
 }
 
-func TestChangesDrainBringBackAndReplaceByTurns(t *testing.T) {
-	w := smallWorld(1)
+func TestNextChangeDrainsRestoresAndReplaces(t *testing.T) {
+	w := newTestWorld(1)
 	rng := rand.New(rand.NewPCG(1, 1))
 	list := map[string]Entry{}
 	for _, e := range w.Members() {
@@ -159,48 +159,48 @@
 		if len(drained) != 1 || drained[0].Phase != "draining" || list[drained[0].ID].Phase != "up" {
 			t.Fatalf("want a drain, got %v", drained)
 		}
-		back := w.NextChange(rng)
+		restored := w.NextChange(rng)
 		want := drained[0]
 		want.Phase, want.UpSinceMS = "up", 12345
-		if len(back) != 1 || back[0] != want {
-			t.Fatalf("want %v, got %v", want, back)
+		if len(restored) != 1 || restored[0] != want {
+			t.Fatalf("want %v, got %v", want, restored)
 		}
 		list[want.ID] = want
-		swap := w.NextChange(rng)
-		if len(swap) != 2 || swap[0].Phase != "removed" || list[swap[0].ID].Phase != "up" {
-			t.Fatalf("want a replacement, got %v", swap)
+		replaced := w.NextChange(rng)
+		if len(replaced) != 2 || replaced[0].Phase != "removed" || list[replaced[0].ID].Phase != "up" {
+			t.Fatalf("want a replacement, got %v", replaced)
 		}
-		next := swap[1]
-		if _, known := list[next.ID]; known {
-			t.Fatalf("the id %s is not new", next.ID)
+		added := replaced[1]
+		if _, known := list[added.ID]; known {
+			t.Fatalf("the id %s is not new", added.ID)
 		}
-		same := list[swap[0].ID]
-		same.ID, same.UpSinceMS = next.ID, 12345
-		if next != same {
-			t.Fatalf("want %v, got %v", same, next)
+		wantAdded := list[replaced[0].ID]
+		wantAdded.ID, wantAdded.UpSinceMS = added.ID, 12345
+		if added != wantAdded {
+			t.Fatalf("want %v, got %v", wantAdded, added)
 		}
-		delete(list, swap[0].ID)
-		list[next.ID] = next
+		delete(list, replaced[0].ID)
+		list[added.ID] = added
 	}
 	if len(list) != 43 || !reflect.DeepEqual(start, w.Members()) {
-		t.Error("the list at the start has changed")
+		t.Error("NextChange modified the initial list or the number of members")
 	}
 }
 
-func TestRequestsFollowTheQuotas(t *testing.T) {
-	w := smallWorld(1)
+func TestDrawRequestFollowsQuotas(t *testing.T) {
+	w := newTestWorld(1)
 	rng := rand.New(rand.NewPCG(1, 1))
 	const draws = 20_000
 	largest, quota := "", 0.0
-	for i, before := 0, 0.0; i < len(w.tenantLoads); i++ {
-		if q := w.tenantLoads[i] - before; q > quota {
+	for i, previous := 0, 0.0; i < len(w.cumulativeTenantRates); i++ {
+		if q := w.cumulativeTenantRates[i] - previous; q > quota {
 			largest, quota = tenantName(i), q
 		}
-		before = w.tenantLoads[i]
+		previous = w.cumulativeTenantRates[i]
 	}
 	hits, classes := 0, map[string]int{}
 	for range draws {
-		class, tenant := w.Request(rng)
+		class, tenant := w.DrawRequest(rng)
 		classes[class]++
 		if tenant == largest {
 			hits++
@@ -212,7 +212,7 @@
 	}
 }
 
-func TestAWorldOfTheTargetsSizeHasGoodSettingsAndDistinctTranscribers(t *testing.T) {
+func TestWorldAtTargetSize(t *testing.T) {
 	w := NewWorld(Step{Nodes: 2500, Services: 1300, Transcribers: 39_000, Tenants: 130_000, Zones: 18}, 1, 20_000)
 	raw, err := w.Settings(2499)
 	if err != nil || !json.Valid(raw) {
@@ -223,11 +223,11 @@
 		seen[e.ID], seen[e.HostPort] = true, true
 	}
 	if len(seen) != 78_000 {
-		t.Errorf("%d ids and addresses", len(seen))
+		t.Errorf("%d distinct ids and addresses, want 78000", len(seen))
 	}
 }
 
-func BenchmarkWorldOfTheTargetsSize(b *testing.B) {
+func BenchmarkWorldAtTargetSize(b *testing.B) {
 	for b.Loop() {
 		w := NewWorld(Step{Nodes: 2500, Services: 1300, Transcribers: 39_000, Tenants: 130_000, Zones: 18}, 1, 20_000)
 		raw, err := w.Config(0, "127.0.0.1:1", "127.0.0.1:2", 192)
@@ -238,8 +238,8 @@
 	}
 }
 
-// A lost zone's entries go one by one or together, all of them, and come back as started anew.
-func TestLastZoneGoesAndComesBack(t *testing.T) {
+// The last zone's entries can be removed and restored one by one or together. Restored ones have a new start time.
+func TestLastZoneRemovedAndRestored(t *testing.T) {
 	s := Step{Nodes: 6, Services: 7, Transcribers: 40, Tenants: 5, Zones: 3}
 	for _, together := range []bool{true, false} {
 		w := NewWorld(s, 1, 9000)
@@ -263,7 +263,7 @@
 				want[e.ID] = true
 			}
 		}
-		for phase, step := range map[string]func(int) []Entry{phaseRemoved: w.loseLastZone, phaseUp: w.restoreLastZone} {
+		for phase, step := range map[string]func(int) []Entry{phaseRemoved: w.removeLastZone, phaseUp: w.restoreLastZone} {
 			got := collect(step)
 			if len(got) != len(want) || len(want) == 0 {
 				t.Errorf("%s: %d entries, want %d", phase, len(got), len(want))
--- a/internal/soak/client.go
+++ b/internal/soak/client.go
@@ -16,7 +16,7 @@
 )
 
 const (
-	answerWait = answerGrace + 4*judgeSlack // beyond a request's time, until it counts as unanswered
+	answerWait = answerGrace + 4*checkerSlack // beyond a request's time, until it counts as unanswered
 	dialWait   = time.Second
 	queueMost  = 12        // requests that a client sends at once
 	idleMost   = 300       // idle connections to one node, more than it has descriptors
@@ -34,7 +34,7 @@
 
 // clientPool plays the clients of all nodes.
 type clientPool struct {
-	judge   *Judge
+	checker *Checker
 	classes []Class
 	ids     atomic.Int64
 	leave   atomic.Bool // many close before their answer
@@ -51,8 +51,8 @@
 	uses int
 }
 
-func newClientPool(judge *Judge, seed uint64) *clientPool {
-	return &clientPool{judge: judge, classes: classes, rng: rand.New(rand.NewPCG(seed, 3)), idle: make(map[*node][]*clientConn)}
+func newClientPool(judge *Checker, seed uint64) *clientPool {
+	return &clientPool{checker: judge, classes: classes, rng: rand.New(rand.NewPCG(seed, 3)), idle: make(map[*node][]*clientConn)}
 }
 
 func (p *clientPool) float() float64 {
@@ -94,7 +94,7 @@
 // begin draws a request, and returns it with its text.
 func (p *clientPool) begin(n *node, class Class, retry bool) (*request, string) {
 	id := fmt.Sprintf("n%03d-%07d", n.number, p.ids.Add(1))
-	r := p.judge.Begin(id, class, n.number)
+	r := p.checker.AddRequest(id, class, n.number)
 	method, key, body := http.MethodGet, "", ""
 	if class.Repeat != "free" {
 		method, body = http.MethodPost, "body of "+id
@@ -120,7 +120,7 @@
 	}
 	class := p.class()
 	if p.float() < briefPart { // as a retry that has used up most of its client's time
-		class.Deadline = leastTry + time.Duration(p.float()*float64(class.Deadline-leastTry)).Truncate(time.Millisecond)
+		class.Deadline = minTryTime + time.Duration(p.float()*float64(class.Deadline-minTryTime)).Truncate(time.Millisecond)
 	}
 	r, text := p.begin(n, class, false)
 	if !p.write(c, text) {
@@ -128,11 +128,11 @@
 		return // not written whole
 	}
 	sent := time.Now()
-	p.judge.Sent(r, sent)
+	p.checker.Sent(r, sent)
 	c.uses++
 	if p.leave.Load() && p.float() < 0.5 {
 		time.Sleep(time.Duration(p.float() * float64(30*time.Millisecond)))
-		p.judge.Left(r, time.Now())
+		p.checker.Abandoned(r, time.Now())
 		c.Close()
 		return
 	}
@@ -174,7 +174,7 @@
 		return false
 	}
 	// A begun answer that breaks off can be told from a whole one, so it has failed and is not lost.
-	p.judge.Answered(r, now, resp.StatusCode, err != nil || string(body) == answerBody(r.id))
+	p.checker.Answered(r, now, resp.StatusCode, err != nil || string(body) == answerBody(r.id))
 	return err == nil && !resp.Close
 }
 
@@ -184,19 +184,19 @@
 	var timeout net.Error
 	switch {
 	case errors.As(err, &timeout) && timeout.Timeout():
-		p.judge.Unanswered(r, time.Now(), "no answer came", n.died(sent))
+		p.checker.Unanswered(r, time.Now(), "no answer came", n.died(sent))
 	case errors.Is(err, syscall.ECONNRESET) || errors.Is(err, syscall.EPIPE):
 		// A close over unread bytes resets the connection: the node has not read the request, or it was killed. It has no
 		// reason to close a new connection so, unless it ends, sends clients away, or has too many of them.
 		if c.uses > 1 || n.turnsAway(sent) {
-			p.judge.Crossed()
+			p.checker.CloseRace()
 		} else {
-			p.judge.Unanswered(r, time.Now(), fmt.Sprintf("a new connection was reset (%v)", err), false)
+			p.checker.Unanswered(r, time.Now(), fmt.Sprintf("a new connection was reset (%v)", err), false)
 		}
-	case c.uses > 1 && after < crossedWithin:
-		p.judge.Crossed()
+	case c.uses > 1 && after < closeRaceWindow:
+		p.checker.CloseRace()
 	default:
-		p.judge.Unanswered(r, time.Now(), fmt.Sprintf("the connection ended (%v, use %d)", err, c.uses), n.died(sent))
+		p.checker.Unanswered(r, time.Now(), fmt.Sprintf("the connection ended (%v, use %d)", err, c.uses), n.died(sent))
 	}
 }
 
@@ -219,14 +219,14 @@
 	}
 	sent := time.Now()
 	for _, r := range requests {
-		p.judge.Sent(r, sent)
+		p.checker.Sent(r, sent)
 	}
 	for i, r := range requests {
 		if c.uses++; p.answer(n, c, r, sent) {
 			continue
 		}
 		for _, rest := range requests[i+1:] { // the node has read them with the first: together they fit one read
-			p.judge.Unanswered(rest, time.Now(), "the connection ended with the answer ahead of it", n.died(sent))
+			p.checker.Unanswered(rest, time.Now(), "the connection ended with the answer ahead of it", n.died(sent))
 		}
 		return
 	}
@@ -243,7 +243,7 @@
 		c.Close()
 		return
 	}
-	p.judge.Sent(r, time.Now())
+	p.checker.Sent(r, time.Now())
 	var all strings.Builder
 	requests := []*request{r}
 	for most := int(p.float() * floodMost); all.Len() < most; {
@@ -255,7 +255,7 @@
 	_, _ = io.WriteString(c, all.String()) // all of it may find no room
 	time.Sleep(time.Duration(p.float() * float64(pieceWait)))
 	for _, r := range requests {
-		p.judge.Left(r, time.Now())
+		p.checker.Abandoned(r, time.Now())
 	}
 	c.Close()
 }
@@ -275,7 +275,7 @@
 			return
 		}
 		sent := time.Now()
-		p.judge.Sent(r, sent)
+		p.checker.Sent(r, sent)
 		if c.uses++; !p.answer(n, c, r, sent) {
 			return
 		}
@@ -295,7 +295,7 @@
 	_, err := c.Read(make([]byte, 1))
 	var timeout net.Error
 	letGo := err == nil || !errors.As(err, &timeout) || !timeout.Timeout()
-	p.judge.BadPeer(n.number, what, time.Since(began), letGo, n.died(began))
+	p.checker.BadPeer(n.number, what, time.Since(began), letGo, n.died(began))
 }
 
 // fill opens idle connections to a node, more than it has descriptors, and holds them for a while.
