--- a/internal/soak/fake_node_test.go
+++ b/internal/soak/fake_node_test.go
@@ -28,7 +28,7 @@
 	}
 	_, _ = io.Copy(io.Discard, req.Body)
 	if f.breaks == "closes" {
-		time.Sleep(2 * crossedWithin)
+		time.Sleep(2 * closeRaceWindow)
 		return
 	}
 	answer := f.forward(req, 0)
@@ -68,7 +68,7 @@
 	for breaks, want := range map[string]string{"": "", "closes": ruleUnanswered, "repeats": ruleUnsafe, "refuses": ruleRefused,
 		"mixes up": ruleWrongAnswer, "overstates": ruleDeadline} {
 		t.Run(breaks, func(t *testing.T) {
-			j := NewJudge(false)
+			j := NewChecker(false)
 			fake := &fakeNode{breaks: breaks}
 			for i := range 2 {
 				s, err := newServer(i, j, 1)
@@ -106,8 +106,8 @@
 			sent := time.Now()
 			j.Sent(r, sent)
 			clients.answer(n, c, r, sent)
-			findings, _ := j.Close()
-			if got := rules(findings); want == "" && len(got) > 0 || want != "" && !slices.Equal(got, []string{want}) {
+			findings, _ := j.Finish()
+			if got := ruleNames(findings); want == "" && len(got) > 0 || want != "" && !slices.Equal(got, []string{want}) {
 				t.Errorf("found %v, want %q", findings, want)
 			}
 		})
--- a/internal/soak/judge.go
+++ b/internal/soak/judge.go
@@ -8,58 +8,58 @@
 	"time"
 )
 
-// Class is a request class as the judge and the settings know it.
+// Class is a request class, as in the nodes' settings and in the checks.
 type Class struct {
 	Name     string
 	Repeat   string // free, guarded or single_shot, as in the settings
 	Deadline time.Duration
-	Window   time.Duration // for guarded
+	Window   time.Duration // in which a guarded request may be repeated
 }
 
-// Figures of the rules, as in the settings that the nodes are given and in the operators' terms.
+// Limits of the rules. They match the settings that the nodes are given and the operators' requirements.
 const (
-	answerGrace    = 500 * time.Millisecond
-	departureGrace = 100 * time.Millisecond
-	deadlineSlack  = 150 * time.Millisecond
-	drainGrace     = 1500 * time.Millisecond
-	newsLatest     = 6 * time.Second
-	heldUp         = 150 * time.Millisecond // that a node may be between reading its clock and writing
-	badPeerLimit   = 3 * time.Second
+	answerGrace    = 500 * time.Millisecond  // for an answer after its deadline
+	departureGrace = 100 * time.Millisecond  // for an attempt after its client closed
+	deadlineSlack  = 150 * time.Millisecond  // by which X-Deadline-Ms may exceed the time left
+	drainGrace     = 1500 * time.Millisecond // for sends to a leaving server
+	maxUpdateDelay = 6 * time.Second         // a node counts as informed of a list change by then
+	maxNodeStall   = 150 * time.Millisecond  // longest stall of a node between reading its clock and writing
+	badPeerLimit   = 3 * time.Second         // until a malformed or unfinished request has to be closed
 	windowSlack    = 50 * time.Millisecond
-	coldShare      = 0.13
-	coldFor        = 8 * time.Second
-	fallMultiple   = 2.5
-	fallFor        = 3 * time.Second
-	// judgeSlack is for the judge's own lateness on a machine that it shares with all processes.
-	judgeSlack = 100 * time.Millisecond
-	// crossedWithin is how soon after a request a connection that ends at rest may have crossed it.
-	crossedWithin = 50 * time.Millisecond
-	overlapSlack  = 50 * time.Millisecond // in which a server notices that an attempt was given up
+	coldShare      = 0.13            // of its capacity that a server may get as its slow start begins
+	coldDuration   = 8 * time.Second // length of a slow start
+	fallMultiple   = 2.5             // times the ramped capacity: the budget of a server in slow start
+	budgetWindow   = 3 * time.Second // window in which that budget is counted
+	// checkerSlack allows for scheduling delays of the checker, which shares the machine with all processes.
+	checkerSlack = 100 * time.Millisecond
+	// closeRaceWindow is how soon after a request the close of its reused connection still counts as a race with it.
+	closeRaceWindow = 50 * time.Millisecond
+	overlapSlack    = 50 * time.Millisecond // for a server to notice that an attempt was cancelled
 )
 
-// Rules that the judge names in its findings.
+// Rules, as named in the findings.
 const (
-	ruleUnanswered  = "request_unanswered"
-	ruleLate        = "answer_late"
-	ruleConcurrent  = "concurrent_attempts"
-	ruleUnsafe      = "unsafe_repeat"
-	ruleWindow      = "repeat_outside_window"
-	ruleDeparture   = "attempt_after_departure"
-	ruleDeadline    = "deadline_overstated"
-	ruleLeaving     = "send_to_leaving_server"
-	ruleSlowStart   = "slow_start_budget"
-	ruleBadPeer     = "bad_peer_kept"
-	ruleRefused     = "refused_after_effect"
-	ruleWrongAnswer = "wrong_answer"
-	ruleStranger    = "unknown_request"
-	ruleCrash       = "crash"
-	ruleNotReady    = "not_ready"
-	ruleNotEnded    = "not_ended"
-	ruleStandby     = "standby"
-	ruleLimits      = "limits"
+	ruleUnanswered     = "request_unanswered"
+	ruleLate           = "answer_late"
+	ruleConcurrent     = "concurrent_attempts"
+	ruleUnsafe         = "unsafe_repeat"
+	ruleWindow         = "repeat_outside_window"
+	ruleDeparture      = "attempt_after_departure"
+	ruleDeadline       = "deadline_overstated"
+	ruleLeaving        = "send_to_leaving_server"
+	ruleSlowStart      = "slow_start_budget"
+	ruleBadPeer        = "bad_peer_kept"
+	ruleRefused        = "refused_after_effect"
+	ruleWrongAnswer    = "wrong_answer"
+	ruleUnknownRequest = "unknown_request"
+	ruleCrash          = "crash"
+	ruleNotReady       = "not_ready"
+	ruleNotEnded       = "not_ended"
+	ruleStandby        = "standby"
+	ruleLimits         = "limits"
 )
 
-// Finding is one broken rule.
+// Finding is one violation of a rule.
 type Finding struct {
 	Rule   string        `json:"rule"`
 	ID     string        `json:"id,omitempty"`
@@ -68,422 +68,429 @@
 	Detail string        `json:"detail"`
 }
 
-// request is all that the judge knows of a client's request.
+// request is what the checker knows of a client's request.
 type request struct {
-	id       string
-	class    Class
-	node     int
-	sent     time.Time // its last byte; zero: it was not written whole
-	left     time.Time // the client closed or cancelled; zero: it did not
-	attempts []*attempt
-	answered bool
-	status   int // that it was answered
+	id        string
+	class     Class
+	node      int
+	sent      time.Time // when its last byte was written; zero if it was not written in full
+	abandoned time.Time // when the client closed or cancelled; zero if it did not
+	attempts  []*attempt
+	answered  bool
+	status    int // of its answer
 }
 
-// attempt is one that came whole to a server.
+// attempt is an attempt that a server received in full.
 type attempt struct {
-	server  int
-	began   time.Time // its first byte
-	ended   time.Time // zero: it is out
-	told    time.Duration
-	notRun  bool // the server said so
-	request *request
-}
-
-// Judge gathers what clients, servers and discovery saw, and finds what broke a rule. All its methods may be called by
-// any number of goroutines.
-type Judge struct {
-	begin   time.Time
-	hedging bool
-
-	mu       sync.Mutex
-	requests map[string]*request
-	findings []Finding
-	counts   Counts
-	leaving  map[int]time.Time            // servers that drain or are gone, and since when the registry has that
-	told     map[int]map[int]time.Time    // by server and node: when the news was written to it
-	started  map[int]time.Time            // when a node's process began
-	outage   struct{ from, to time.Time } // of the registry: the last one; to is zero while it lasts
-	cold     map[int]*coldStart
-	past     []*coldStart
-}
-
-// Counts are what came to pass in a run.
+	server         int
+	began          time.Time     // when its first byte arrived
+	ended          time.Time     // zero while it is outstanding
+	statedDeadline time.Duration // its X-Deadline-Ms
+	notRun         bool          // the server answered X-Not-Run
+	request        *request
+}
+
+// Checker records what clients, servers and discovery observe, and reports violations of the rules. Its methods are safe
+// for concurrent use.
+type Checker struct {
+	startTime time.Time
+	hedging   bool
+
+	mu                sync.Mutex
+	requests          map[string]*request
+	findings          []Finding
+	counts            Counts
+	leaving           map[int]time.Time            // draining and removed servers, and since when the registry lists them so
+	leaveDelivered    map[int]map[int]time.Time    // by server and node: when the registry wrote the change to the node
+	started           map[int]time.Time            // by node: when its current process started
+	outage            struct{ from, to time.Time } // of the registry, the last one; to is zero while it lasts
+	coldStarts        map[int]*coldStart           // by server, the last one
+	earlierColdStarts []*coldStart                 // earlier ones of servers that have restarted since
+}
+
+// Counts are the totals of a run.
 type Counts struct {
-	Requests int            `json:"requests"`
-	Attempts int            `json:"attempts"`
-	Statuses map[int]int    `json:"statuses"`
-	Left     int            `json:"left"`
-	Crossed  int            `json:"crossed"` // with the end of a connection at rest
-	Died     int            `json:"died"`    // with their node's process
-	BadPeers int            `json:"bad_peers"`
-	Troubles map[string]int `json:"troubles"`
-	// Slowest is the time of the slowest answer beyond its client's time; negative if all came within it.
-	Slowest time.Duration `json:"slowest_beyond_time"`
-}
-
-// coldStart is a server's slow start and what it was sent in it.
+	Requests    int            `json:"requests"`
+	Attempts    int            `json:"attempts"`
+	Statuses    map[int]int    `json:"statuses"`
+	Abandoned   int            `json:"left"`
+	CloseRaces  int            `json:"crossed"` // requests that may have raced with the close of their connection
+	LostToKill  int            `json:"died"`    // requests unanswered because their node's process was killed
+	BadPeers    int            `json:"bad_peers"`
+	Disruptions map[string]int `json:"troubles"`
+	// MaxLateness is the most by which an answer exceeded its deadline; negative if none did.
+	MaxLateness time.Duration `json:"slowest_beyond_time"`
+}
+
+// coldStart is a server's slow start and the requests that it received in it.
 type coldStart struct {
-	server   int
-	began    time.Time
-	capacity float64 // requests a second, once warm
-	sends    []coldSend
-	told     map[int]time.Time // nodes, and when the news of the start was written to them
+	server    int
+	began     time.Time
+	capacity  float64 // requests a second after the slow start
+	sends     []coldSend
+	delivered map[int]time.Time // by node: when the registry wrote the start to the node
 }
 
-// coldSend is one request that a server got in its slow start.
+// coldSend is a request that a server received in its slow start.
 type coldSend struct {
-	at   time.Time
-	told bool // its node had been told of the start, and had had the time to heed it
+	at       time.Time
+	informed bool // its node had received the start and had had time to act on it
 }
 
-// NewJudge judges a run that begins now.
-func NewJudge(hedging bool) *Judge {
-	return &Judge{begin: time.Now(), hedging: hedging, requests: make(map[string]*request), leaving: make(map[int]time.Time),
-		told: make(map[int]map[int]time.Time), started: make(map[int]time.Time), cold: make(map[int]*coldStart),
-		counts: Counts{Slowest: math.MinInt64, Statuses: make(map[int]int), Troubles: make(map[string]int)}}
+// NewChecker returns a Checker for a run that starts now.
+func NewChecker(hedging bool) *Checker {
+	return &Checker{startTime: time.Now(), hedging: hedging, requests: make(map[string]*request), leaving: make(map[int]time.Time),
+		leaveDelivered: make(map[int]map[int]time.Time), started: make(map[int]time.Time), coldStarts: make(map[int]*coldStart),
+		counts: Counts{MaxLateness: math.MinInt64, Statuses: make(map[int]int), Disruptions: make(map[string]int)}}
 }
 
-func (j *Judge) find(rule string, r *request, node int, format string, details ...any) {
-	f := Finding{Rule: rule, Node: node, At: time.Since(j.begin), Detail: fmt.Sprintf(format, details...)}
+func (c *Checker) report(rule string, r *request, node int, format string, args ...any) {
+	f := Finding{Rule: rule, Node: node, At: time.Since(c.startTime), Detail: fmt.Sprintf(format, args...)}
 	if r != nil {
 		f.ID, f.Node = r.id, r.node
 	}
-	j.findings = append(j.findings, f)
+	c.findings = append(c.findings, f)
 }
 
-// Find notes a broken rule that the caller has seen by itself.
-func (j *Judge) Find(rule string, node int, format string, details ...any) {
-	j.mu.Lock()
-	defer j.mu.Unlock()
-	j.find(rule, nil, node, format, details...)
+// Report records a violation that the caller has detected itself.
+func (c *Checker) Report(rule string, node int, format string, args ...any) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.report(rule, nil, node, format, args...)
 }
 
-// Begin notes a request that a client is about to write.
-func (j *Judge) Begin(id string, class Class, node int) *request {
-	j.mu.Lock()
-	defer j.mu.Unlock()
+// AddRequest records a request that a client is about to write.
+func (c *Checker) AddRequest(id string, class Class, node int) *request {
+	c.mu.Lock()
+	defer c.mu.Unlock()
 	r := &request{id: id, class: class, node: node}
-	j.requests[id] = r
+	c.requests[id] = r
 	return r
 }
 
-// Sent notes that a request's last byte was written.
-func (j *Judge) Sent(r *request, at time.Time) {
-	j.mu.Lock()
-	defer j.mu.Unlock()
+// Sent records that a request's last byte was written.
+func (c *Checker) Sent(r *request, at time.Time) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
 	r.sent = at
-	j.counts.Requests++
+	c.counts.Requests++
 }
 
-// Left notes that the client is about to close its connection.
-func (j *Judge) Left(r *request, at time.Time) {
-	j.mu.Lock()
-	defer j.mu.Unlock()
-	r.left = at
-	j.counts.Left++
+// Abandoned records that the client is about to close its connection before the answer.
+func (c *Checker) Abandoned(r *request, at time.Time) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	r.abandoned = at
+	c.counts.Abandoned++
 }
 
-// Answered notes the final answer; whole tells that its body was the one that a server made for this request.
-func (j *Judge) Answered(r *request, at time.Time, status int, whole bool) {
-	j.mu.Lock()
-	defer j.mu.Unlock()
-	j.counts.Statuses[status]++
+// Answered records and checks the final answer; bodyMatches tells whether its body is the one that servers send for this
+// request.
+func (c *Checker) Answered(r *request, at time.Time, status int, bodyMatches bool) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.counts.Statuses[status]++
 	r.answered, r.status = true, status
-	j.counts.Slowest = max(j.counts.Slowest, at.Sub(r.sent)-r.class.Deadline)
-	if late := at.Sub(r.sent) - r.class.Deadline; late > answerGrace+judgeSlack {
-		j.find(ruleLate, r, 0, "answered %d, %v after its time", status, late)
+	c.counts.MaxLateness = max(c.counts.MaxLateness, at.Sub(r.sent)-r.class.Deadline)
+	if late := at.Sub(r.sent) - r.class.Deadline; late > answerGrace+checkerSlack {
+		c.report(ruleLate, r, 0, "status %d, %v after the deadline", status, late)
 	}
-	if status == 200 && !whole {
-		j.find(ruleWrongAnswer, r, 0, "the body is none that a server made for it")
+	if status == 200 && !bodyMatches {
+		c.report(ruleWrongAnswer, r, 0, "the body is not the one that servers send for this request")
 	}
 	if status == 429 || status == 503 {
-		j.checkRefusal(r, status)
+		c.checkRefusal(r, status)
 	}
 }
 
-func (j *Judge) checkRefusal(r *request, status int) {
+// checkRefusal reports a 429 or 503 answer to a single_shot request if a server may have run one of its attempts.
+func (c *Checker) checkRefusal(r *request, status int) {
 	if r.class.Repeat != "single_shot" {
 		return
 	}
 	for _, a := range r.attempts {
 		if !a.notRun {
-			j.find(ruleRefused, r, 0, "refused with %d, though server %d may have run it", status, a.server)
+			c.report(ruleRefused, r, 0, "status %d, but server %d may have run it", status, a.server)
 			return
 		}
 	}
 }
 
-// Unanswered notes that no answer came: the client waited up to now, or the connection ended. Excused tells that the
-// node's process was killed meanwhile.
-func (j *Judge) Unanswered(r *request, at time.Time, why string, excused bool) {
-	j.mu.Lock()
-	defer j.mu.Unlock()
-	if excused {
-		j.counts.Died++
+// Unanswered records that no answer came: the client's wait ended or the connection did. nodeKilled tells whether the
+// node's process was killed meanwhile, which excuses it.
+func (c *Checker) Unanswered(r *request, at time.Time, reason string, nodeKilled bool) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if nodeKilled {
+		c.counts.LostToKill++
 		return
 	}
-	j.find(ruleUnanswered, r, 0, "%s, %v after its last byte, %d attempts", why, at.Sub(r.sent), len(r.attempts))
+	c.report(ruleUnanswered, r, 0, "%s, %v after its last byte, %d attempts", reason, at.Sub(r.sent), len(r.attempts))
 }
 
-// Crossed notes a request that met the end of a connection at rest.
-func (j *Judge) Crossed() {
-	j.mu.Lock()
-	defer j.mu.Unlock()
-	j.counts.Crossed++
+// CloseRace counts a request that may have raced with the node's close of its connection, and so may never have been read.
+func (c *Checker) CloseRace() {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.counts.CloseRaces++
 }
 
-// BadPeer notes how a peer that sent no proper request, or stopped in one, was let go.
-func (j *Judge) BadPeer(node int, what string, waited time.Duration, letGo, excused bool) {
-	j.mu.Lock()
-	defer j.mu.Unlock()
-	j.counts.BadPeers++
-	if !excused && (!letGo || waited > badPeerLimit+judgeSlack) {
-		j.find(ruleBadPeer, nil, node, "%s: let go %v after %v", what, letGo, waited)
+// BadPeer records whether and after what time the node closed the connection of a peer that sent a malformed or
+// unfinished request. nodeKilled excuses any outcome.
+func (c *Checker) BadPeer(node int, description string, waited time.Duration, closed, nodeKilled bool) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.counts.BadPeers++
+	if !nodeKilled && (!closed || waited > badPeerLimit+checkerSlack) {
+		c.report(ruleBadPeer, nil, node, "%s: closed %v after %v", description, closed, waited)
 	}
 }
 
-// AttemptBegan notes a request that came whole to a server; began is its first byte, and told what the node said that
-// its client waits.
-func (j *Judge) AttemptBegan(id string, server int, began time.Time, told time.Duration) *attempt {
-	j.mu.Lock()
-	defer j.mu.Unlock()
-	j.counts.Attempts++
-	a := &attempt{server: server, began: began, told: told}
-	r := j.requests[id]
+// AttemptBegan records a request that a server has received in full. began is when its first byte arrived, and
+// statedDeadline the time that the node said its client still waits.
+func (c *Checker) AttemptBegan(id string, server int, began time.Time, statedDeadline time.Duration) *attempt {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.counts.Attempts++
+	a := &attempt{server: server, began: began, statedDeadline: statedDeadline}
+	r := c.requests[id]
 	if r == nil {
-		j.find(ruleStranger, nil, -1, "server %d got id %q, which no client sent", server, id)
+		c.report(ruleUnknownRequest, nil, -1, "server %d received id %q, which no client sent", server, id)
 		return a
 	}
 	a.request = r
-	j.checkAttempt(r, a)
+	c.checkAttempt(r, a)
 	r.attempts = append(r.attempts, a)
-	if c := j.cold[server]; c != nil {
-		told, known := c.told[r.node]
-		c.sends = append(c.sends, coldSend{began, known && began.Sub(told) > heldUp+judgeSlack})
+	if cold := c.coldStarts[server]; cold != nil {
+		deliveredAt, delivered := cold.delivered[r.node]
+		cold.sends = append(cold.sends, coldSend{began, delivered && began.Sub(deliveredAt) > maxNodeStall+checkerSlack})
 	}
 	return a
 }
 
-func (j *Judge) checkAttempt(r *request, a *attempt) {
-	if !r.left.IsZero() && a.began.Sub(r.left) > departureGrace+judgeSlack {
-		j.find(ruleDeparture, r, 0, "began at server %d %v after the client's close", a.server, a.began.Sub(r.left))
+// checkAttempt checks a new attempt against the request's client, deadline and earlier attempts and the server's phase.
+func (c *Checker) checkAttempt(r *request, a *attempt) {
+	if !r.abandoned.IsZero() && a.began.Sub(r.abandoned) > departureGrace+checkerSlack {
+		c.report(ruleDeparture, r, 0, "started at server %d %v after the client closed", a.server, a.began.Sub(r.abandoned))
 	}
 	if !r.sent.IsZero() {
-		if left := r.class.Deadline - a.began.Sub(r.sent); a.told > left+deadlineSlack+judgeSlack/2 {
-			j.find(ruleDeadline, r, 0, "server %d told %v, %v left", a.server, a.told, left)
+		if remaining := r.class.Deadline - a.began.Sub(r.sent); a.statedDeadline > remaining+deadlineSlack+checkerSlack/2 {
+			c.report(ruleDeadline, r, 0, "server %d was given %v, %v left", a.server, a.statedDeadline, remaining)
 		}
 	}
-	var first *attempt // that may have run
+	var first *attempt // the first that may have run
 	for _, b := range r.attempts {
 		if first == nil && !b.notRun {
 			first = b
 		}
 	}
 	if first != nil {
-		j.checkRepeat(r, a, first)
+		c.checkRepeat(r, a, first)
 	}
-	if since, leaves := j.leaving[a.server]; leaves {
-		j.checkLeaving(r, a, since)
+	if since, leaving := c.leaving[a.server]; leaving {
+		c.checkLeaving(r, a, since)
 	}
 }
 
-func (j *Judge) checkRepeat(r *request, a, first *attempt) {
+// checkRepeat checks attempt a of a request that attempt first may have run.
+func (c *Checker) checkRepeat(r *request, a, first *attempt) {
 	switch r.class.Repeat {
 	case "single_shot":
-		j.find(ruleUnsafe, r, 0, "at server %d, after server %d may have run it", a.server, first.server)
+		c.report(ruleUnsafe, r, 0, "at server %d, but server %d may have run it before", a.server, first.server)
 	case "guarded":
-		if after := a.began.Sub(first.began); after > r.class.Window+windowSlack+heldUp {
-			j.find(ruleWindow, r, 0, "at server %d, %v after the first", a.server, after)
+		if after := a.began.Sub(first.began); after > r.class.Window+windowSlack+maxNodeStall {
+			c.report(ruleWindow, r, 0, "at server %d, %v after the first attempt", a.server, after)
 		}
 	}
 }
 
-// checkLeaving holds a send to a server that drains or is gone to the time at which the node counts as told: when the
-// news was written to it, and at the latest 6 s after the registry had it and could be reached.
-func (j *Judge) checkLeaving(r *request, a *attempt, since time.Time) {
-	told, known := j.told[a.server][r.node]
-	if down := j.outage; down.from.IsZero() || !down.to.IsZero() {
-		latest := slices.MaxFunc([]time.Time{since, down.to, j.started[r.node]}, time.Time.Compare).Add(newsLatest)
-		if !known || latest.Before(told) {
-			told, known = latest, true
+// checkLeaving reports a send to a draining or removed server later than the drain grace after the node counts as
+// informed: when the registry wrote the change to it, and at the latest 6 s after the registry listed the change, could be
+// reached and the node's process had started.
+func (c *Checker) checkLeaving(r *request, a *attempt, since time.Time) {
+	informedAt, informed := c.leaveDelivered[a.server][r.node]
+	if down := c.outage; down.from.IsZero() || !down.to.IsZero() {
+		latest := slices.MaxFunc([]time.Time{since, down.to, c.started[r.node]}, time.Time.Compare).Add(maxUpdateDelay)
+		if !informed || latest.Before(informedAt) {
+			informedAt, informed = latest, true
 		}
 	}
-	if after := a.began.Sub(told); known && after > drainGrace+heldUp+judgeSlack {
-		j.find(ruleLeaving, r, 0, "server %d, %v after the node counts as told", a.server, after)
+	if after := a.began.Sub(informedAt); informed && after > drainGrace+maxNodeStall+checkerSlack {
+		c.report(ruleLeaving, r, 0, "server %d, %v after the node counts as informed", a.server, after)
 	}
 }
 
-// AttemptEnded notes that a server has answered, or seen that the attempt was given up; notRun is what it said of it.
-func (j *Judge) AttemptEnded(a *attempt, at time.Time, notRun bool) {
-	j.mu.Lock()
-	defer j.mu.Unlock()
+// AttemptEnded records that a server has answered or noticed a cancelled attempt. notRun tells whether the answer said
+// that the request was not run. Without hedging, it reports later attempts that overlap this one.
+func (c *Checker) AttemptEnded(a *attempt, at time.Time, notRun bool) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
 	if !a.ended.IsZero() {
 		return
 	}
 	a.ended, a.notRun = at, notRun
-	if j.hedging || a.request == nil {
+	if c.hedging || a.request == nil {
 		return
 	}
 	for _, b := range a.request.attempts {
 		if b != a && b.began.After(a.began) && at.Sub(b.began) > overlapSlack {
-			j.find(ruleConcurrent, a.request, 0, "at server %d, while that at server %d was out for %v more", b.server, a.server,
+			c.report(ruleConcurrent, a.request, 0, "at server %d, while the attempt at server %d was outstanding for another %v", b.server, a.server,
 				at.Sub(b.began))
 		}
 	}
 }
 
-// ServerLeaves notes that the registry has a server as draining or gone.
-func (j *Judge) ServerLeaves(server int, at time.Time) {
-	j.mu.Lock()
-	defer j.mu.Unlock()
-	if _, leaves := j.leaving[server]; !leaves { // one that drained and is gone now was to get nothing before
-		j.leaving[server] = at
+// ServerLeaving records that the registry lists a server as draining or has removed it.
+func (c *Checker) ServerLeaving(server int, at time.Time) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if _, leaving := c.leaving[server]; !leaving { // a drained server that is removed was to receive nothing since its drain
+		c.leaving[server] = at
 	}
 }
 
-// ServerReturns notes that the registry has a server as up again.
-func (j *Judge) ServerReturns(server int) {
-	j.mu.Lock()
-	defer j.mu.Unlock()
-	delete(j.leaving, server)
-	delete(j.told, server)
+// ServerReturned records that the registry lists a server as up again.
+func (c *Checker) ServerReturned(server int) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	delete(c.leaving, server)
+	delete(c.leaveDelivered, server)
 }
 
-// Told notes that the registry wrote the news of a leaving server to a node.
-func (j *Judge) Told(node, server int, at time.Time) {
-	j.mu.Lock()
-	defer j.mu.Unlock()
-	if _, leaves := j.leaving[server]; !leaves {
+// LeaveDelivered records that the registry wrote to a node that a server is leaving.
+func (c *Checker) LeaveDelivered(node, server int, at time.Time) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if _, leaving := c.leaving[server]; !leaving {
 		return
 	}
-	if j.told[server] == nil {
-		j.told[server] = make(map[int]time.Time)
+	if c.leaveDelivered[server] == nil {
+		c.leaveDelivered[server] = make(map[int]time.Time)
 	}
-	if _, known := j.told[server][node]; !known {
-		j.told[server][node] = at
+	if _, delivered := c.leaveDelivered[server][node]; !delivered {
+		c.leaveDelivered[server][node] = at
 	}
 }
 
-// ToldStart notes that the registry wrote the news of a server's start to a node.
-func (j *Judge) ToldStart(node, server int, at time.Time) {
-	j.mu.Lock()
-	defer j.mu.Unlock()
-	c := j.cold[server]
-	if c == nil {
+// StartDelivered records that the registry wrote to a node that a server has started.
+func (c *Checker) StartDelivered(node, server int, at time.Time) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	cold := c.coldStarts[server]
+	if cold == nil {
 		return
 	}
-	if _, known := c.told[node]; !known {
-		c.told[node] = at
+	if _, delivered := cold.delivered[node]; !delivered {
+		cold.delivered[node] = at
 	}
 }
 
-// Started notes a node's new process, which has been told nothing yet.
-func (j *Judge) Started(node int, at time.Time) {
-	j.mu.Lock()
-	defer j.mu.Unlock()
-	j.started[node] = at
-	for _, nodes := range j.told {
+// NodeStarted records a node's new process, to which the registry has written nothing yet.
+func (c *Checker) NodeStarted(node int, at time.Time) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.started[node] = at
+	for _, nodes := range c.leaveDelivered {
 		delete(nodes, node)
 	}
-	for _, c := range j.cold {
-		delete(c.told, node)
+	for _, cold := range c.coldStarts {
+		delete(cold.delivered, node)
 	}
 }
 
-// Outage notes that the registry can't be reached from now on, or can be again.
-func (j *Judge) Outage(down bool, at time.Time) {
-	j.mu.Lock()
-	defer j.mu.Unlock()
+// RegistryOutage records the start (down) or the end of an outage of the registry.
+func (c *Checker) RegistryOutage(down bool, at time.Time) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
 	if down {
-		j.outage.from, j.outage.to = at, time.Time{}
+		c.outage.from, c.outage.to = at, time.Time{}
 	} else {
-		j.outage.to = at
+		c.outage.to = at
 	}
 }
 
-// ColdStart notes that a server has started anew, with a capacity in requests a second once it is warm.
-func (j *Judge) ColdStart(server int, capacity float64, at time.Time) {
-	j.mu.Lock()
-	defer j.mu.Unlock()
-	if old := j.cold[server]; old != nil {
-		j.past = append(j.past, old)
+// ColdStart records that a server has restarted. capacity is in requests a second after its slow start.
+func (c *Checker) ColdStart(server int, capacity float64, at time.Time) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if previous := c.coldStarts[server]; previous != nil {
+		c.earlierColdStarts = append(c.earlierColdStarts, previous)
 	}
-	j.cold[server] = &coldStart{server: server, began: at, capacity: capacity, told: make(map[int]time.Time)}
+	c.coldStarts[server] = &coldStart{server: server, began: at, capacity: capacity, delivered: make(map[int]time.Time)}
 }
 
-// budget is what the settings allow a server in slow start in the window that ends at a time, with the terms' room for
-// chance.
-func (c *coldStart) budget(end time.Time) float64 {
+// budget is how many requests the settings allow a server in slow start in the window that ends at end, with the
+// requirements' allowance for random variation.
+func (cold *coldStart) budget(end time.Time) float64 {
 	const steps = 20
 	sum := 0.0
 	for i := range steps {
-		age := end.Add(-fallFor + fallFor*time.Duration(i)/steps).Sub(c.began)
-		sum += min(1, coldShare+(1-coldShare)*max(0, age.Seconds())/coldFor.Seconds())
+		age := end.Add(-budgetWindow + budgetWindow*time.Duration(i)/steps).Sub(cold.began)
+		sum += min(1, coldShare+(1-coldShare)*max(0, age.Seconds())/coldDuration.Seconds())
 	}
-	n := fallMultiple * c.capacity * fallFor.Seconds() * sum / steps
+	n := fallMultiple * cold.capacity * budgetWindow.Seconds() * sum / steps
 	if n < 30 {
 		return n + 3*math.Sqrt(n) + 3
 	}
 	return n + 2*math.Sqrt(n) + 2
 }
 
-// over returns the first window in which the server was sent more than its budget, over two thirds of it by nodes that
-// had been told of the start (STANDING).
-func (c *coldStart) over() (at time.Time, sent int, budget float64, found bool) {
-	slices.SortFunc(c.sends, func(a, b coldSend) int { return a.at.Compare(b.at) })
-	first, told := 0, 0
-	for i, send := range c.sends {
-		if send.told {
-			told++
+// overBudget returns the first window in which the server received more than its budget, with more than two thirds of
+// the requests from nodes that had received the start (STANDING).
+func (cold *coldStart) overBudget() (at time.Time, sent int, budget float64, found bool) {
+	slices.SortFunc(cold.sends, func(a, b coldSend) int { return a.at.Compare(b.at) })
+	first, informed := 0, 0
+	for i, send := range cold.sends {
+		if send.informed {
+			informed++
 		}
-		for ; c.sends[first].at.Before(send.at.Add(-fallFor)); first++ {
-			if c.sends[first].told {
-				told--
+		for ; cold.sends[first].at.Before(send.at.Add(-budgetWindow)); first++ {
+			if cold.sends[first].informed {
+				informed--
 			}
 		}
-		if send.at.Sub(c.began) > coldFor {
+		if send.at.Sub(cold.began) > coldDuration {
 			break
 		}
-		if n := i - first + 1; float64(n) > c.budget(send.at) && 3*told > 2*n {
-			return send.at, n, c.budget(send.at), true
+		if n := i - first + 1; float64(n) > cold.budget(send.at) && 3*informed > 2*n {
+			return send.at, n, cold.budget(send.at), true
 		}
 	}
 	return time.Time{}, 0, 0, false
 }
 
-// Close looks at what only the end of a run shows, and returns all that was found and counted.
-func (j *Judge) Close() ([]Finding, Counts) {
-	j.mu.Lock()
-	defer j.mu.Unlock()
-	for _, c := range j.cold {
-		j.past = append(j.past, c)
+// Finish runs the checks that need the whole run, and returns all findings and totals.
+func (c *Checker) Finish() ([]Finding, Counts) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	for _, cold := range c.coldStarts {
+		c.earlierColdStarts = append(c.earlierColdStarts, cold)
 	}
-	j.cold = make(map[int]*coldStart)
-	for _, c := range j.past {
-		if at, sent, budget, found := c.over(); found {
-			j.find(ruleSlowStart, nil, -1, "server %d was sent %d in the %v up to %v after its start, %.1f allowed", c.server, sent,
-				fallFor, at.Sub(c.began), budget)
+	c.coldStarts = make(map[int]*coldStart)
+	for _, cold := range c.earlierColdStarts {
+		if at, sent, budget, found := cold.overBudget(); found {
+			c.report(ruleSlowStart, nil, -1, "server %d received %d requests in the %v up to %v after its start, %.1f allowed", cold.server, sent,
+				budgetWindow, at.Sub(cold.began), budget)
 		}
 	}
-	j.past = nil
-	return j.findings, j.counts
+	c.earlierColdStarts = nil
+	return c.findings, c.counts
 }
 
-// servedPart is the part of all requests that were served, of those that were answered.
-func (j *Judge) servedPart() float64 {
-	j.mu.Lock()
-	defer j.mu.Unlock()
-	all := 0
-	for _, n := range j.counts.Statuses {
-		all += n
+// servedRatio is the fraction of answered requests with status 200.
+func (c *Checker) servedRatio() float64 {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	answered := 0
+	for _, n := range c.counts.Statuses {
+		answered += n
 	}
-	return float64(j.counts.Statuses[200]) / float64(max(1, all))
+	return float64(c.counts.Statuses[200]) / float64(max(1, answered))
 }
 
-// Struck counts a trouble that was played.
-func (j *Judge) Struck(kind Kind) {
-	j.mu.Lock()
-	defer j.mu.Unlock()
-	j.counts.Troubles[string(kind)]++
+// CountDisruption counts a disruption that was injected.
+func (c *Checker) CountDisruption(kind Kind) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.counts.Disruptions[string(kind)]++
 }
--- a/internal/soak/node.go
+++ b/internal/soak/node.go
@@ -110,7 +110,7 @@
 	if err := p.cmd.Start(); err != nil {
 		return nil, fmt.Errorf("node %d: %w", n.number, err)
 	}
-	n.run.judge.Started(n.number, time.Now())
+	n.run.checker.NodeStarted(n.number, time.Now())
 	go func() {
 		p.err = p.cmd.Wait()
 		close(p.ended)
@@ -160,7 +160,7 @@
 	if p.killed.Load() || p.told.Load() && p.err == nil {
 		return
 	}
-	n.run.judge.Find(ruleCrash, n.number, "the process ended with %v (told to end: %v); %s", p.err, p.told.Load(), n.lastLine())
+	n.run.checker.Report(ruleCrash, n.number, "the process ended with %v (told to end: %v); %s", p.err, p.told.Load(), n.lastLine())
 }
 
 func (n *node) lastLine() string {
@@ -192,7 +192,7 @@
 		case <-time.After(readyPoll):
 		}
 		if time.Since(began) > within {
-			n.run.judge.Find(ruleNotReady, n.number, "not ready after %v", within)
+			n.run.checker.Report(ruleNotReady, n.number, "not ready after %v", within)
 			return
 		}
 	}
@@ -280,7 +280,7 @@
 	select {
 	case <-p.ended:
 	case <-late:
-		n.run.judge.Find(ruleNotEnded, n.number, "runs %v after SIGTERM", most)
+		n.run.checker.Report(ruleNotEnded, n.number, "runs %v after SIGTERM", most)
 		n.kill(p)
 	}
 }
@@ -317,7 +317,7 @@
 	n.run.wait(standbyNotice)
 	stays := func() bool { return n.process() == p && !p.told.Load() && n.run.ctx.Err() == nil }
 	if statusOK("http://"+p.admin+"/status") && stays() {
-		n.run.judge.Find(ruleStandby, n.number, "ready %v after it was sent to standby", standbyNotice)
+		n.run.checker.Report(ruleStandby, n.number, "ready %v after it was sent to standby", standbyNotice)
 	}
 	if !p.post("/active") {
 		return
@@ -327,7 +327,7 @@
 			return
 		}
 		if time.Since(began) > standbyBack {
-			n.run.judge.Find(ruleStandby, n.number, "not ready %v after its standby ended", standbyBack)
+			n.run.checker.Report(ruleStandby, n.number, "not ready %v after its standby ended", standbyBack)
 			return
 		}
 	}
--- a/internal/soak/registry.go
+++ b/internal/soak/registry.go
@@ -36,7 +36,7 @@
 
 // registry stands in for discovery. Each node has ports of its own, so that what was written to it is known.
 type registry struct {
-	judge *Judge
+	checker *Checker
 
 	mu       sync.Mutex
 	changed  chan struct{} // closed at the next change
@@ -50,8 +50,8 @@
 	written  atomic.Int64 // bytes of lists, to all nodes
 }
 
-func newRegistry(judge *Judge, entries []scale.Entry) *registry {
-	return &registry{judge: judge, changed: make(chan struct{}), cut: make(chan struct{}), revision: 1,
+func newRegistry(judge *Checker, entries []scale.Entry) *registry {
+	return &registry{checker: judge, changed: make(chan struct{}), cut: make(chan struct{}), revision: 1,
 		entries: slices.Clone(entries), changes: make([]int64, len(entries)), removed: make([]bool, len(entries))}
 }
 
@@ -105,13 +105,13 @@
 		e := &r.entries[server]
 		e.Phase, r.changes[server], r.removed[server] = phase, r.revision, phase == phaseRemoved
 		if phase != phaseUp {
-			r.judge.ServerLeaves(server, time.Now())
+			r.checker.ServerLeaving(server, time.Now())
 			continue
 		}
 		if upSince > 0 {
 			e.UpSinceMS = upSince
 		}
-		r.judge.ServerReturns(server)
+		r.checker.ServerReturned(server)
 	}
 	close(r.changed)
 	r.changed = make(chan struct{})
@@ -122,7 +122,7 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if (f == faultNone) != (r.fault == faultNone) {
-		r.judge.Outage(f != faultNone, time.Now())
+		r.checker.RegistryOutage(f != faultNone, time.Now())
 	}
 	r.fault = f
 	if f == faultDown {
@@ -228,9 +228,9 @@
 		return
 	}
 	for _, server := range left {
-		r.judge.Told(node, server, time.Now())
+		r.checker.LeaveDelivered(node, server, time.Now())
 	}
 	for _, server := range started {
-		r.judge.ToldStart(node, server, time.Now())
+		r.checker.StartDelivered(node, server, time.Now())
 	}
 }
--- a/internal/soak/run.go
+++ b/internal/soak/run.go
@@ -21,134 +21,135 @@
 )
 
 const (
-	sampleEvery  = 500 * time.Millisecond // of memory and descriptors
-	progress     = 10 * time.Second
-	warmCapacity = 60.0 // requests a second that a server counts as taking, for its slow start
-	readyPart    = 0.9  // of the starts that have to be ready in time
-	readyIn      = 10 * time.Second
-	pauseMost    = 150 * time.Millisecond
-	firstNet     = 20 // second number of the nodes' loopback addresses, which runs at once don't share
-	nets         = 200
+	sampleInterval   = 500 * time.Millisecond // of memory and open descriptors
+	progressInterval = 10 * time.Second       // between log messages on progress
+	warmCapacity     = 60.0                   // assumed capacity of a server after its slow start, in requests a second
+	readyFraction    = 0.9                    // of the starts, which have to be ready within readyWithin
+	readyWithin      = 10 * time.Second
+	maxPause         = 150 * time.Millisecond // longest SIGSTOP of a node
+	firstSubnet      = 20                     // second octet of the nodes' loopback addresses, so that parallel runs use different ones
+	subnetCount      = 200
 )
 
-// Settings of a run that are not drawn.
+// Settings are the parameters of Execute. Options alone determine the plan.
 type Settings struct {
-	Binary  string   // the built node
-	Faulty  string   // the same, built with the tag faults
-	Dir     string   // for configurations, logs and the nodes' folders
-	Env     []string // further environment of the nodes
-	Options Options
+	Binary       string   // path of the node binary
+	FaultyBinary string   // path of the node binary built with the tag faults
+	Dir          string   // for configurations, logs and the nodes' directories
+	Env          []string // additional environment variables of the nodes
+	Options      Options
 }
 
-// Result is what a run gave.
+// Result is the outcome of a run.
 type Result struct {
-	Plan       Plan             `json:"plan"`
-	Took       time.Duration    `json:"took"`
-	Counts     Counts           `json:"counts"`
-	Findings   []Finding        `json:"findings"`
-	Violations map[string]int64 `json:"node_violations"` // by the nodes' own counters, of the processes that lived to the end
-	Denials    map[string]int64 `json:"node_denials"`
-	MemoryKB   int64            `json:"most_memory_kb"`
-	Sockets    int              `json:"most_descriptors"`
-	SlowestUp  time.Duration    `json:"slowest_ready"`
-	Starts     int              `json:"starts"`
-	Usage      usage            `json:"usage"`
+	Plan           Plan             `json:"plan"`
+	Elapsed        time.Duration    `json:"took"`
+	Counts         Counts           `json:"counts"`
+	Findings       []Finding        `json:"findings"`
+	Violations     map[string]int64 `json:"node_violations"` // from the nodes' own counters, of the processes running at the end
+	Denials        map[string]int64 `json:"node_denials"`
+	MaxMemoryKB    int64            `json:"most_memory_kb"`
+	MaxDescriptors int              `json:"most_descriptors"`
+	SlowestStart   time.Duration    `json:"slowest_ready"`
+	Starts         int              `json:"starts"`
+	Usage          usage            `json:"usage"`
 }
 
-// Broken tells whether a rule was found broken, by the judge or by a node.
-func (r Result) Broken() bool { return len(r.Findings) > 0 || len(r.Violations) > 0 }
+// Failed tells whether the checker or a node found a violation of a rule.
+func (r Result) Failed() bool { return len(r.Findings) > 0 || len(r.Violations) > 0 }
 
-// Run is a run that is under way.
+// Run is a run in progress.
 type Run struct {
-	settings Settings
-	plan     Plan
-	judge    *Judge
-	registry *registry
-	servers  []*server
-	nodes    []*node
-	clients  *clientPool
-	ctx      context.Context
-	begin    time.Time
+	settings  Settings
+	plan      Plan
+	checker   *Checker
+	registry  *registry
+	servers   []*server
+	nodes     []*node
+	clients   *clientPool
+	ctx       context.Context
+	startTime time.Time
 
-	mu       sync.Mutex
-	memoryKB int64
-	sockets  int
+	mu             sync.Mutex
+	maxMemoryKB    int64
+	maxDescriptors int
 }
 
-// Execute draws the plan, plays it and judges it. An error means that the run itself could not be played.
+// Execute generates the plan, runs it and checks the rules. An error means that the run itself failed.
 func Execute(ctx context.Context, s Settings) (Result, error) {
-	plan, err := Draw(s.Options)
+	plan, err := NewPlan(s.Options)
 	if err != nil {
 		return Result{}, err
 	}
 	running, cancel := context.WithCancel(ctx)
 	defer cancel()
-	r := &Run{settings: s, plan: plan, judge: NewJudge(plan.Hedging), ctx: running, begin: time.Now()}
-	r.clients = newClientPool(r.judge, plan.Seed)
+	r := &Run{settings: s, plan: plan, checker: NewChecker(plan.Hedging), ctx: running, startTime: time.Now()}
+	r.clients = newClientPool(r.checker, plan.Seed)
 	r.clients.classes = plan.classes()
-	defer r.close()
-	if err := r.open(); err != nil {
+	defer r.cleanUp()
+	if err := r.setUp(); err != nil {
 		return Result{}, err
 	}
-	r.play()
+	r.runPlan()
 	return r.finish(cancel), ctx.Err()
 }
 
-// open starts the stand-ins and the nodes, and waits until all nodes are ready.
-func (r *Run) open() error {
+// setUp starts the servers, the registry and the nodes, and waits until all nodes are ready.
+func (r *Run) setUp() error {
 	var entries []scale.Entry
-	takes := rate.NewLimiter(rate.Inf, 0)
+	capacity := rate.NewLimiter(rate.Inf, 0)
 	if v := r.plan.Overload; v != nil {
-		takes = rate.NewLimiter(rate.Limit(v.Takes), takesBurst)
+		capacity = rate.NewLimiter(rate.Limit(v.Capacity), capacityBurst)
 	}
 	for i := range r.plan.Servers {
-		s, err := newServer(i, r.judge, r.plan.Seed)
+		s, err := newServer(i, r.checker, r.plan.Seed)
 		if err != nil {
 			return err
 		}
 		if v := r.plan.Overload; v != nil {
-			s.workTime, s.takes = v.Work, takes
+			s.workTime, s.takes = v.ServiceTime, capacity
 		}
 		r.servers = append(r.servers, s)
 		entries = append(entries, scale.Entry{ID: fmt.Sprintf("s-%04d", i), HostPort: s.addr(), Locality: "a", Flavor: "k",
 			Cell: 1, Phase: phaseUp, Size: 1})
 	}
-	r.registry = newRegistry(r.judge, entries)
+	r.registry = newRegistry(r.checker, entries)
 	for i := range r.plan.Nodes {
 		if err := r.addNode(i, entries); err != nil {
 			return err
 		}
 	}
-	var all sync.WaitGroup
+	var wg sync.WaitGroup
 	for _, n := range r.nodes {
 		p, err := n.start()
 		if err != nil {
 			return err
 		}
-		all.Go(func() { n.awaitReady(p, readyLatest) })
+		wg.Go(func() { n.awaitReady(p, readyLatest) })
 	}
-	all.Wait()
+	wg.Wait()
 	return nil
 }
 
+// addNode prepares a node: its directory, listening address and configuration.
 func (r *Run) addNode(number int, entries []scale.Entry) error {
 	n := &node{number: number, run: r, dir: filepath.Join(r.settings.Dir, fmt.Sprintf("node-%03d", number)),
-		binary: r.settings.Binary, env: r.settings.Env, logPipe: r.plan.Strikes(number, LogClosed, LogStalled)}
-	if text, faulty := r.plan.Faults[number]; faulty {
-		n.binary = r.settings.Faulty
-		n.env = append(slices.Clone(n.env), faultpoint.EnvVar+"="+text)
+		binary: r.settings.Binary, env: r.settings.Env, logPipe: r.plan.Affects(number, LogClosed, LogStalled)}
+	if spec, faulty := r.plan.NodeFaults[number]; faulty {
+		n.binary = r.settings.FaultyBinary
+		n.env = append(slices.Clone(n.env), faultpoint.EnvVar+"="+spec)
 	}
 	if err := os.MkdirAll(n.dir, 0o700); err != nil {
 		return err
 	}
-	n.host = fmt.Sprintf("127.%d.%d.1", firstNet+r.plan.Seed%nets, number)
+	n.host = fmt.Sprintf("127.%d.%d.1", firstSubnet+r.plan.Seed%subnetCount, number)
 	ln, err := net.Listen("tcp", net.JoinHostPort(n.host, "0"))
 	if err != nil {
 		return err
 	}
 	defer ln.Close()
 	n.listen = ln.Addr().String()
-	if r.plan.Strikes(number, NodeUpgrade) { // then the platform holds the clients' listening socket
+	if r.plan.Affects(number, NodeUpgrade) { // for an upgrade, the platform holds the clients' listening socket
 		if n.held, err = ln.(*net.TCPListener).File(); err != nil {
 			return err
 		}
@@ -162,7 +163,7 @@
 	return writeConfig(n.config, r.config(n, discovery, entries))
 }
 
-// config is a node's configuration, in the form of the DEPLOY and WIRE pages.
+// config returns a node's configuration, in the format of the DEPLOY and WIRE pages.
 func (r *Run) config(n *node, discovery string, entries []scale.Entry) map[string]any {
 	ms := func(d time.Duration) float64 { return float64(d.Milliseconds()) }
 	var services []map[string]any
@@ -184,85 +185,85 @@
 		"limits": map[string]any{"cores": 1.0, "memory_mb": nodeMemoryMB, "sockets": nodeSockets},
 		"known":  map[string]any{"revision": 1, "complete": true, "members": entries},
 		"settings": map[string]any{
-			"position": n.number, "groupSize": r.plan.group(), "zone": "a", "registryMode": mode, "services": services,
-			"tenants": []map[string]any{{"name": "t", "quotaRps": 4 * r.plan.Rate * float64(r.plan.group()), "fraction": 1.0}},
+			"position": n.number, "groupSize": r.plan.groupSize(), "zone": "a", "registryMode": mode, "services": services,
+			"tenants": []map[string]any{{"name": "t", "quotaRps": 4 * r.plan.Rate * float64(r.plan.groupSize()), "fraction": 1.0}},
 			"limits": map[string]any{"cancelling": true, "connIdle": 3000.0, "connectTimeout": 250.0, "maxAttempts": 3,
 				"maxOpen": 1000, "maxRetryAfter": 3000.0, "retryAfter": true, "secondCopies": r.plan.Hedging},
-			"guarantees": map[string]any{"cold": ms(coldFor), "coldShare": coldShare, "drainGrace": ms(drainGrace),
-				"fallMultiple": fallMultiple, "graceToAnswer": 20.0, "mustAskIn": 10000.0, "overloadFor": ms(fallFor)},
+			"guarantees": map[string]any{"cold": ms(coldDuration), "coldShare": coldShare, "drainGrace": ms(drainGrace),
+				"fallMultiple": fallMultiple, "graceToAnswer": 20.0, "mustAskIn": 10000.0, "overloadFor": ms(budgetWindow)},
 			"report": map[string]any{"fields": []string{"util", "qps"}, "how": "answers"},
 		},
 	}
 }
 
-// play sends the traffic and strikes with the troubles until the plan's time is over.
-func (r *Run) play() {
-	r.begin = time.Now()
-	slog.Info("soak: all nodes are ready", "seed", r.plan.Seed, "nodes", len(r.nodes), "troubles", len(r.plan.Troubles))
+// runPlan generates the load and injects the disruptions until the plan's duration is over.
+func (r *Run) runPlan() {
+	r.startTime = time.Now()
+	slog.Info("soak: all nodes are ready", "seed", r.plan.Seed, "nodes", len(r.nodes), "troubles", len(r.plan.Disruptions))
 	ctx, cancel := context.WithTimeout(r.ctx, r.plan.Duration)
 	defer cancel()
-	var parts sync.WaitGroup
+	var wg sync.WaitGroup
 	for _, n := range r.nodes {
 		go n.follow()
-		parts.Go(func() { r.traffic(ctx, n) })
+		wg.Go(func() { r.generateLoad(ctx, n) })
 	}
-	parts.Go(func() { r.sample(ctx) })
+	wg.Go(func() { r.sampleUsage(ctx) })
 	if v := r.plan.Overload; v != nil {
-		parts.Go(func() { r.releases(ctx) })
+		wg.Go(func() { r.releaseRepeatedly(ctx) })
 		for _, n := range r.nodes {
-			if v.Core < 1 {
-				parts.Go(func() { r.slices(ctx, n, v.Core) })
+			if v.CPUShare < 1 {
+				wg.Go(func() { r.throttle(ctx, n, v.CPUShare) })
 			}
 		}
 	}
-	for _, t := range r.plan.Troubles {
+	for _, d := range r.plan.Disruptions {
 		select {
-		case <-time.After(time.Until(r.begin.Add(t.At))):
+		case <-time.After(time.Until(r.startTime.Add(d.At))):
 		case <-ctx.Done():
 		}
 		if ctx.Err() != nil {
 			break
 		}
-		r.judge.Struck(t.Kind)
-		slog.Debug("soak: trouble", "seed", r.plan.Seed, "what", t.String())
-		parts.Go(func() {
-			if err := r.strike(t); err != nil {
-				slog.Error("soak: a trouble could not be played", "what", t.String(), "err", err)
+		r.checker.CountDisruption(d.Kind)
+		slog.Debug("soak: disruption", "seed", r.plan.Seed, "what", d.String())
+		wg.Go(func() {
+			if err := r.disrupt(d); err != nil {
+				slog.Error("soak: disruption failed", "what", d.String(), "err", err)
 			}
 		})
 	}
-	parts.Wait()
+	wg.Wait()
 }
 
-// traffic sends requests to one node, at random times, whatever becomes of those before.
-func (r *Run) traffic(ctx context.Context, n *node) {
+// generateLoad sends requests to one node at random times, regardless of the outcome of earlier ones (open loop).
+func (r *Run) generateLoad(ctx context.Context, n *node) {
 	rng := rand.New(rand.NewPCG(r.plan.Seed, uint64(n.number)))
-	var open sync.WaitGroup
-	defer open.Wait()
+	var wg sync.WaitGroup
+	defer wg.Wait()
 	for {
 		select {
 		case <-time.After(time.Duration(rng.ExpFloat64() / r.plan.Rate * float64(time.Second))):
 		case <-ctx.Done():
 			return
 		}
-		open.Go(func() { r.send(n) }) // where the front sends nobody, on connections that are open
+		wg.Go(func() { r.send(n) }) // on open connections only, while the front sends the node no new ones
 	}
 }
 
-// send has a client of a node send one request.
+// send sends one request to a node; in an overload, some clients retry.
 func (r *Run) send(n *node) {
-	if r.plan.Overload != nil && r.clients.float() < persistPart {
-		r.clients.persist(n)
+	if r.plan.Overload != nil && r.clients.float() < retryFraction {
+		r.clients.requestWithRetries(n)
 	} else {
 		r.clients.request(n)
 	}
 }
 
-// sample keeps the most that any process takes.
-func (r *Run) sample(ctx context.Context) {
-	tick := time.NewTicker(sampleEvery)
+// sampleUsage records the maximum memory and descriptors of all processes, and reports those above the nodes' limits.
+func (r *Run) sampleUsage(ctx context.Context) {
+	tick := time.NewTicker(sampleInterval)
 	defer tick.Stop()
-	told := time.Now()
+	lastProgress := time.Now()
 	for {
 		select {
 		case <-tick.C:
@@ -271,55 +272,56 @@
 		}
 		for _, n := range r.nodes {
 			p := n.process()
-			memory, sockets := p.memoryKB("VmRSS"), p.descriptors()
+			memory, descriptors := p.memoryKB("VmRSS"), p.descriptors()
 			r.mu.Lock()
-			r.memoryKB, r.sockets = max(r.memoryKB, memory), max(r.sockets, sockets)
+			r.maxMemoryKB, r.maxDescriptors = max(r.maxMemoryKB, memory), max(r.maxDescriptors, descriptors)
 			r.mu.Unlock()
-			if memory > nodeMemoryMB<<10 || sockets > nodeSockets {
-				r.judge.Find(ruleLimits, n.number, "%d kB, %d descriptors", memory, sockets)
+			if memory > nodeMemoryMB<<10 || descriptors > nodeSockets {
+				r.checker.Report(ruleLimits, n.number, "%d kB, %d descriptors", memory, descriptors)
 			}
 		}
-		if time.Since(told) > progress {
-			told = time.Now()
-			slog.Info("soak: under way", "seed", r.plan.Seed, "after", time.Since(r.begin).Round(time.Second))
+		if time.Since(lastProgress) > progressInterval {
+			lastProgress = time.Now()
+			slog.Info("soak: in progress", "seed", r.plan.Seed, "after", time.Since(r.startTime).Round(time.Second))
 		}
 	}
 }
 
-// strike plays one trouble to its end.
-func (r *Run) strike(t Trouble) error {
-	switch t.Kind.strikes() {
+// disrupt carries out one disruption, and returns when it has ended.
+func (r *Run) disrupt(d Disruption) error {
+	switch d.Kind.targetType() {
 	case "nodes":
-		var all sync.WaitGroup
-		errs := make([]error, len(t.Targets))
-		for i, target := range t.Targets {
-			all.Go(func() { errs[i] = r.strikeNode(t, r.nodes[target]) })
+		var wg sync.WaitGroup
+		errs := make([]error, len(d.Targets))
+		for i, target := range d.Targets {
+			wg.Go(func() { errs[i] = r.disruptNode(d, r.nodes[target]) })
 		}
-		all.Wait()
+		wg.Wait()
 		return errors.Join(errs...)
 	case "servers":
-		r.strikeServers(t)
+		r.disruptServers(d)
 		return nil
 	}
-	switch t.Kind {
-	case RegistryDown, RegistryMute, RegistrySlow:
-		r.registry.fail(map[Kind]fault{RegistryDown: faultDown, RegistryMute: faultMute, RegistrySlow: faultSlow}[t.Kind])
-		r.wait(t.For)
+	switch d.Kind {
+	case RegistryDown, RegistrySilent, RegistrySlow:
+		r.registry.fail(map[Kind]fault{RegistryDown: faultDown, RegistrySilent: faultMute, RegistrySlow: faultSlow}[d.Kind])
+		r.wait(d.Duration)
 		r.registry.fail(faultNone)
-	case RegistryCut:
+	case RegistryReset:
 		r.registry.cutWatches()
 	case ClientsLeave:
 		r.clients.leave.Store(true)
-		r.wait(t.For)
+		r.wait(d.Duration)
 		r.clients.leave.Store(false)
 	case ClientsSlow:
 		r.clients.slow.Store(true)
-		r.wait(t.For)
+		r.wait(d.Duration)
 		r.clients.slow.Store(false)
 	}
 	return nil
 }
 
+// wait waits for d or until the run ends.
 func (r *Run) wait(d time.Duration) {
 	select {
 	case <-time.After(d):
@@ -327,40 +329,41 @@
 	}
 }
 
-func (r *Run) strikeNode(t Trouble, n *node) error {
+// disruptNode carries out a disruption on one node.
+func (r *Run) disruptNode(d Disruption, n *node) error {
 	p := n.process()
-	switch t.Kind {
+	switch d.Kind {
 	case NodeTerm, NodeKill, NodeUpgrade:
-		return n.replace(t.Kind)
+		return n.replace(d.Kind)
 	case NodeStandby:
 		n.standby(p)
 	case NodeReload:
 		return r.reload(n, p)
 	case NodePause:
-		for end := time.Now().Add(t.For); time.Now().Before(end); r.wait(2 * pauseMost) {
+		for end := time.Now().Add(d.Duration); time.Now().Before(end); r.wait(2 * maxPause) {
 			n.signal(p, syscall.SIGSTOP)
-			time.Sleep(time.Duration(r.clients.float() * float64(pauseMost)))
+			time.Sleep(time.Duration(r.clients.float() * float64(maxPause)))
 			n.signal(p, syscall.SIGCONT)
 		}
 	case LogClosed, LogStalled:
-		n.breakLog(p, t.Kind == LogClosed)
-	case ClientsFlood, ClientsStop, ClientsQueue:
-		play := map[Kind]func(*node){ClientsFlood: r.clients.flood, ClientsStop: r.clients.stop, ClientsQueue: r.clients.queue}
-		var all sync.WaitGroup
+		n.breakLog(p, d.Kind == LogClosed)
+	case ClientsFlood, ClientsStall, ClientsPipeline:
+		misbehave := map[Kind]func(*node){ClientsFlood: r.clients.flood, ClientsStall: r.clients.stop, ClientsPipeline: r.clients.queue}
+		var wg sync.WaitGroup
 		for range 6 {
-			all.Go(func() { play[t.Kind](n) })
-			r.wait(t.For / 6)
+			wg.Go(func() { misbehave[d.Kind](n) })
+			r.wait(d.Duration / 6)
 		}
-		all.Wait()
+		wg.Wait()
 	case ClientsIdle:
 		n.crowded.Store(true)
-		r.clients.fill(n, t.For)
+		r.clients.fill(n, d.Duration)
 		n.crowded.Store(false)
 	}
 	return nil
 }
 
-// reload moves a node's discovery, up to three times in a row; the last address is the one that stays.
+// reload changes a node's discovery address and sends SIGHUP, up to three times in a row. The last address stays.
 func (r *Run) reload(n *node, p *process) error {
 	for range 1 + int(r.clients.float()*3) {
 		discovery, err := r.registry.port(n.number)
@@ -376,44 +379,45 @@
 	return nil
 }
 
-func (r *Run) strikeServers(t Trouble) {
-	for _, target := range t.Targets {
+// disruptServers carries out a disruption on its servers, and restores them where the disruption has a duration.
+func (r *Run) disruptServers(d Disruption) {
+	for _, target := range d.Targets {
 		s := r.servers[target]
-		switch t.Kind {
+		switch d.Kind {
 		case ServerDrain:
 			r.registry.change(target, phaseDraining, 0)
 		case ServerRemove:
 			r.registry.change(target, phaseRemoved, 0)
-		case ServerForget:
+		case ServerResetIdle:
 			s.resetConns(false)
 		case ServerCold:
 			now := time.Now()
-			r.judge.ColdStart(target, warmCapacity, now)
+			r.checker.ColdStart(target, warmCapacity, now)
 			s.resetConns(true)
 			r.registry.change(target, phaseUp, now.UnixMilli())
 		default:
-			s.kind.Store(t.Kind)
+			s.kind.Store(d.Kind)
 		}
 	}
-	r.wait(t.For)
-	for _, target := range t.Targets {
-		switch t.Kind {
+	r.wait(d.Duration)
+	for _, target := range d.Targets {
+		switch d.Kind {
 		case ServerDrain, ServerRemove:
 			r.registry.change(target, phaseUp, 0)
-		case ServerForget, ServerCold:
+		case ServerResetIdle, ServerCold:
 		default:
-			r.servers[target].kind.CompareAndSwap(t.Kind, Kind(""))
+			r.servers[target].kind.CompareAndSwap(d.Kind, Kind(""))
 		}
 	}
 }
 
-// finish ends all processes and gathers what was found.
+// finish reads the nodes' counters, stops all processes and returns the result.
 func (r *Run) finish(cancel func()) Result {
 	res := Result{Plan: r.plan, Violations: make(map[string]int64), Denials: make(map[string]int64)}
 	for _, n := range r.nodes {
 		violations, denials, err := n.process().counters()
 		if err != nil {
-			r.judge.Find(ruleNotReady, n.number, "no metrics: %v", err)
+			r.checker.Report(ruleNotReady, n.number, "no metrics: %v", err)
 		}
 		for name, count := range violations {
 			if count > 0 {
@@ -426,33 +430,33 @@
 			}
 		}
 	}
-	res.Usage = r.measure()
+	res.Usage = r.measureUsage()
 	cancel()
-	var all sync.WaitGroup
+	var wg sync.WaitGroup
 	for _, n := range r.nodes {
-		all.Go(func() { n.end(n.process()) })
+		wg.Go(func() { n.end(n.process()) })
 	}
-	all.Wait()
-	var readies []time.Duration
+	wg.Wait()
+	var readyTimes []time.Duration
 	for _, n := range r.nodes {
 		n.mu.Lock()
-		readies = append(readies, n.readies...)
+		readyTimes = append(readyTimes, n.readies...)
 		n.mu.Unlock()
 	}
-	slices.Sort(readies)
-	if at := int(readyPart * float64(len(readies))); len(readies) > 0 && readies[min(at, len(readies)-1)] > readyIn {
-		r.judge.Find(ruleNotReady, -1, "nine in ten starts took %v", readies[at])
+	slices.Sort(readyTimes)
+	if rank := int(readyFraction * float64(len(readyTimes))); len(readyTimes) > 0 && readyTimes[min(rank, len(readyTimes)-1)] > readyWithin {
+		r.checker.Report(ruleNotReady, -1, "the 90th percentile of the times to readiness is %v", readyTimes[rank])
 	}
-	res.Findings, res.Counts = r.judge.Close()
-	res.Starts, res.SlowestUp = len(readies), slices.Max(append(readies, 0))
+	res.Findings, res.Counts = r.checker.Finish()
+	res.Starts, res.SlowestStart = len(readyTimes), slices.Max(append(readyTimes, 0))
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	res.MemoryKB, res.Sockets, res.Took = r.memoryKB, r.sockets, time.Since(r.begin)
+	res.MaxMemoryKB, res.MaxDescriptors, res.Elapsed = r.maxMemoryKB, r.maxDescriptors, time.Since(r.startTime)
 	return res
 }
 
-// close ends whatever is still there.
-func (r *Run) close() {
+// cleanUp kills the processes still running and closes the servers and the registry.
+func (r *Run) cleanUp() {
 	for _, n := range r.nodes {
 		if p := n.process(); p != nil {
 			select {
--- a/internal/soak/server.go
+++ b/internal/soak/server.go
@@ -25,9 +25,9 @@
 
 // server stands in for one transcriber, byte by byte.
 type server struct {
-	number int
-	judge  *Judge
-	ln     net.Listener
+	number  int
+	checker *Checker
+	ln      net.Listener
 	// closesAfterAnswer has each connection serve one request.
 	closesAfterAnswer bool
 
@@ -42,12 +42,12 @@
 	recent []time.Time // of the last second, for its reports
 }
 
-func newServer(number int, judge *Judge, seed uint64) (*server, error) {
+func newServer(number int, judge *Checker, seed uint64) (*server, error) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return nil, err
 	}
-	s := &server{number: number, judge: judge, ln: ln, takes: rate.NewLimiter(rate.Inf, 0), rng: rand.New(rand.NewPCG(seed, uint64(1000+number))),
+	s := &server{number: number, checker: judge, ln: ln, takes: rate.NewLimiter(rate.Inf, 0), rng: rand.New(rand.NewPCG(seed, uint64(1000+number))),
 		conns: make(map[*serverConn]bool)}
 	s.kind.Store(Kind(""))
 	go s.run()
@@ -151,9 +151,9 @@
 		}
 		told, _ := strconv.Atoi(req.Header.Get("X-Deadline-Ms"))
 		id := req.Header.Get("X-Request-Id")
-		a := c.server.judge.AttemptBegan(id, c.server.number, c.first, time.Duration(told)*time.Millisecond)
+		a := c.server.checker.AttemptBegan(id, c.server.number, c.first, time.Duration(told)*time.Millisecond)
 		if !c.serve(id, a, in) {
-			c.server.judge.AttemptEnded(a, time.Now(), false)
+			c.server.checker.AttemptEnded(a, time.Now(), false)
 			return
 		}
 		if c.server.closesAfterAnswer {
@@ -176,7 +176,7 @@
 		work = s.workTime
 	}
 	if !s.takes.Allow() {
-		s.judge.AttemptEnded(a, time.Now(), true)
+		s.checker.AttemptEnded(a, time.Now(), true)
 		_, err := io.WriteString(c, "HTTP/1.1 503 Service Unavailable\r\nX-Not-Run: 1\r\nContent-Length: 0\r\n\r\n")
 		return err == nil
 	}
@@ -200,18 +200,18 @@
 		whole = "HTTP/1.1 500 Internal Server Error\r\nContent-Length: 0\r\n\r\n"
 	case kind == ServerErrors && chance < 0.6:
 		whole, notRun = "HTTP/1.1 503 Service Unavailable\r\nX-Not-Run: 1\r\nContent-Length: 0\r\n\r\n", true
-	case kind == ServerEnd && chance < 0.5:
+	case kind == ServerEndless && chance < 0.5:
 		return c.endless()
-	case kind == ServerPieces:
+	case kind == ServerSmallWrites:
 		return c.pieces(a, whole, body, chance)
-	case kind == ServerTwice && chance < 0.5:
-		s.judge.AttemptEnded(a, time.Now(), false)
+	case kind == ServerDoubleAnswer && chance < 0.5:
+		s.checker.AttemptEnded(a, time.Now(), false)
 		_, _ = io.WriteString(c, whole)
 		time.Sleep(time.Duration(chance * 2 * float64(secondAnswer)))
 		_, err := io.WriteString(c, whole)
 		return err == nil
 	}
-	s.judge.AttemptEnded(a, time.Now(), notRun)
+	s.checker.AttemptEnded(a, time.Now(), notRun)
 	_, err := io.WriteString(c, whole)
 	return err == nil
 }
@@ -247,7 +247,7 @@
 	for len(whole) > 0 {
 		n := min(len(whole), 7+len(whole)/5)
 		if n == len(whole) && reusable {
-			c.server.judge.AttemptEnded(a, time.Now(), false)
+			c.server.checker.AttemptEnded(a, time.Now(), false)
 		}
 		if _, err := io.WriteString(c, whole[:n]); err != nil {
 			return false
--- a/internal/wire/decode.go
+++ b/internal/wire/decode.go
@@ -1,5 +1,5 @@
 // Package wire translates between the simulator's line protocol and the types of package policy.
-// It decides nothing.
+// It makes no routing decisions.
 package wire
 
 import (
@@ -14,20 +14,20 @@
 	"cobaltward/policy"
 )
 
-// Kind tells the lines of the wire apart.
+// Kind is the kind of a decoded line.
 type Kind uint8
 
-// The kinds of line.
+// The kinds of decoded lines.
 const (
-	Mark      Kind = iota // opens a batch: Now is set
-	EndBatch              // closes a batch
-	Stored                // a list was kept under its number; nothing to route
-	Configure             // Node, Seed and Settings are set
-	Shutdown              // Node is set
-	Event                 // Node and Event are set
+	BeginBatch Kind = iota // begins a batch; Now is set
+	EndBatch               // ends a batch
+	ListStored             // a list was stored in its slot; nothing to dispatch
+	Configure              // Node, Seed and Settings are set
+	Shutdown               // Node is set
+	Event                  // Node and Event are set
 )
 
-// Line is one decoded line.
+// Line is one decoded line. Its Kind determines which fields are set.
 type Line struct {
 	Kind     Kind
 	Now      policy.Time
@@ -37,22 +37,23 @@
 	Event    policy.Event
 }
 
-// lists is how many list numbers the wire has.
-const lists = 16
+// listSlots is the number of slots for member lists in the protocol.
+const listSlots = 16
 
-// maxInterned bounds the table of shared strings, in entries; servers come and go for ever.
+// maxInterned is the maximum number of interned strings. The table needs a bound, because new server names keep
+// appearing.
 const maxInterned = 1 << 14
 
-// Decoder reads lines. It keeps the lists that the wire sends once for all instances.
+// Decoder decodes lines. It stores the member lists, which the protocol sends once for all instances.
 // The zero value is ready to use.
 type Decoder struct {
-	parser fastjson.Parser
-	lists  [lists][]policy.Member
-	known  [lists]bool
-	names  map[string]string
+	parser      fastjson.Parser
+	lists       [listSlots][]policy.Member
+	stored      [listSlots]bool
+	internTable map[string]string
 }
 
-// Decode reads one line. Errors name the message and the field.
+// Decode decodes one line. Errors name the message and the field.
 func (d *Decoder) Decode(line []byte) (Line, error) {
 	v, err := d.parser.ParseBytes(line)
 	if err != nil {
@@ -63,38 +64,38 @@
 	}
 	vals := v.GetArray()
 	if len(vals) == 0 || vals[0].Type() != fastjson.TypeString {
-		return Line{}, fmt.Errorf("message: want a name first")
+		return Line{}, fmt.Errorf("message: want a message name as the first element")
 	}
-	f := fields{vals: vals[1:], d: d}
+	f := fieldReader{values: vals[1:], decoder: d}
 	name := string(vals[0].GetStringBytes())
-	l, err := d.message(name, &f)
+	l, err := d.decodeMessage(name, &f)
 	if err == nil {
 		err = f.err
 	}
 	if err != nil {
-		return Line{}, fmt.Errorf("%s: %w", plain(name), err)
+		return Line{}, fmt.Errorf("%s: %w", escapeName(name), err)
 	}
 	return l, nil
 }
 
-func (d *Decoder) message(name string, f *fields) (Line, error) {
+func (d *Decoder) decodeMessage(name string, f *fieldReader) (Line, error) {
 	switch name {
 	case "mark":
-		return Line{Kind: Mark, Now: f.ms(0, "clock")}, nil
+		return Line{Kind: BeginBatch, Now: f.duration(0, "clock")}, nil
 	case "eob":
 		return Line{Kind: EndBatch}, nil
 	case "list":
-		return Line{Kind: Stored}, d.store(f)
+		return Line{Kind: ListStored}, d.storeList(f)
 	}
 	l := Line{Kind: Event, Node: f.int(0, "node")}
 	switch name {
 	case "configure":
 		l.Kind, l.Seed = Configure, f.uint(1, "randomSeed")
-		conf := f.need(2, "conf", fastjson.TypeObject)
+		conf := f.required(2, "conf", fastjson.TypeObject)
 		if conf == nil {
 			return l, nil
 		}
-		s, err := settings(conf)
+		s, err := decodeSettings(conf)
 		if err != nil {
 			return l, fmt.Errorf("conf: %w", err)
 		}
@@ -111,14 +112,14 @@
 		l.Event = policy.ClientGone{ID: f.str(1, "ticket")}
 	case "headers":
 		l.Event = policy.FirstByte{ID: f.str(1, "ticket"), Attempt: f.int(2, "roundNo"),
-			Latency: f.ms(3, "waitTime"), Server: f.name(4, "server")}
+			Latency: f.duration(3, "waitTime"), Server: f.internedStr(4, "server")}
 	case "healthResult":
-		l.Event = policy.ProbeResult{Latency: f.ms(1, "waitTime"), Code: f.code(2),
-			Server: f.name(3, "server"), Report: f.report(4)}
+		l.Event = policy.ProbeResult{Latency: f.duration(1, "waitTime"), Code: f.code(2),
+			Server: f.internedStr(3, "server"), Report: f.loadReport(4)}
 	case "neighbourSays":
 		l.Event = policy.PeerMessage{From: f.int(1, "from"), Body: f.str(2, "body")}
 	case "peersKnown":
-		ev, err := d.members(f)
+		ev, err := d.decodeMemberList(f)
 		if err != nil {
 			return l, err
 		}
@@ -129,72 +130,72 @@
 	return l, nil
 }
 
-func (f *fields) request() policy.Request {
+func (f *fieldReader) request() policy.Request {
 	return policy.Request{
-		ID: f.str(1, "ticket"), Class: f.name(2, "cls"), Tenant: f.optName(3, "team"),
-		Key: f.optStr(4, "object"), ExpiresIn: f.ms(5, "expiresIn"), CostHint: f.optMs(6, "effort"),
+		ID: f.str(1, "ticket"), Class: f.internedStr(2, "cls"), Tenant: f.optInternedStr(3, "team"),
+		Key: f.optStr(4, "object"), ExpiresIn: f.duration(5, "expiresIn"), CostHint: f.optDuration(6, "effort"),
 		Retry: f.optBool(7, "isRetry"), Write: f.optBool(8, "update"),
 	}
 }
 
-func (f *fields) outcome() policy.Outcome {
+func (f *fieldReader) outcome() policy.Outcome {
 	return policy.Outcome{
-		ID: f.str(1, "ticket"), Attempt: f.int(2, "roundNo"), Server: f.name(3, "server"),
-		Code: f.code(4), Latency: f.ms(5, "waitTime"), Ended: f.optBool(6, "doneFlag"), Report: f.report(7),
+		ID: f.str(1, "ticket"), Attempt: f.int(2, "roundNo"), Server: f.internedStr(3, "server"),
+		Code: f.code(4), Latency: f.duration(5, "waitTime"), Ended: f.optBool(6, "doneFlag"), Report: f.loadReport(7),
 	}
 }
 
-var codes = map[string]policy.Code{
+var outcomeCodes = map[string]policy.Code{
 	"done": policy.OK, "err": policy.ServerError, "busy": policy.Full, "etimedout": policy.TimedOut,
 	"econnrefused": policy.ConnectFailed, "econnreset": policy.Reset,
 	"ecanceled": policy.Cancelled, "skipped": policy.NotSent,
 }
 
-func (f *fields) code(i int) policy.Code {
-	s := f.name(i, "rc")
-	c, ok := codes[s]
+func (f *fieldReader) code(i int) policy.Code {
+	s := f.internedStr(i, "rc")
+	c, ok := outcomeCodes[s]
 	if !ok {
 		f.fail("rc", "unknown outcome code %q", s)
 	}
 	return c
 }
 
-func (d *Decoder) listNumber(f *fields, i int) int {
+func (d *Decoder) listSlot(f *fieldReader, i int) int {
 	n := f.int(i, "buffer")
-	if f.err == nil && (n < 0 || n >= lists) {
-		f.fail("buffer", "want 0 to %d, got %d", lists-1, n)
+	if f.err == nil && (n < 0 || n >= listSlots) {
+		f.fail("buffer", "want 0 to %d, got %d", listSlots-1, n)
 		return 0
 	}
 	return n
 }
 
-func (d *Decoder) store(f *fields) error {
-	n := d.listNumber(f, 0)
-	recs := f.need(1, "records", fastjson.TypeArray)
+func (d *Decoder) storeList(f *fieldReader) error {
+	n := d.listSlot(f, 0)
+	records := f.required(1, "records", fastjson.TypeArray)
 	if f.err != nil {
 		return f.err
 	}
-	// A new slice each time: instances keep reading the old one.
-	entries := make([]policy.Member, 0, len(recs.GetArray()))
-	for i, r := range recs.GetArray() {
-		m, err := d.member(r)
+	// Allocate a new slice each time: instances may still be reading the old one.
+	entries := make([]policy.Member, 0, len(records.GetArray()))
+	for i, r := range records.GetArray() {
+		m, err := d.decodeMember(r)
 		if err != nil {
 			return fmt.Errorf("records[%d].%w", i, err)
 		}
 		entries = append(entries, m)
 	}
-	d.lists[n], d.known[n] = entries, true
+	d.lists[n], d.stored[n] = entries, true
 	return nil
 }
 
-func (d *Decoder) member(v *fastjson.Value) (policy.Member, error) {
+func (d *Decoder) decodeMember(v *fastjson.Value) (policy.Member, error) {
 	if v.Type() != fastjson.TypeArray {
 		return policy.Member{}, fmt.Errorf("entry: want an array, got %s", v.Type())
 	}
-	f := fields{vals: v.GetArray(), d: d}
-	m := policy.Member{OnlineSince: f.optMs(0, "onlineSince"), Weight: 1, Kind: f.optName(3, "classOfHost"),
-		Zone: f.optName(4, "campus"), Server: f.name(6, "server")}
-	switch s := f.name(1, "availability"); s {
+	f := fieldReader{values: v.GetArray(), decoder: d}
+	m := policy.Member{OnlineSince: f.optDuration(0, "onlineSince"), Weight: 1, Kind: f.optInternedStr(3, "classOfHost"),
+		Zone: f.optInternedStr(4, "campus"), Server: f.internedStr(6, "server")}
+	switch s := f.internedStr(1, "availability"); s {
 	case "Running":
 	case "Stopping":
 		m.Availability = policy.Draining
@@ -203,10 +204,10 @@
 	default:
 		f.fail("availability", "unknown state %q", s)
 	}
-	if w := f.opt(2, "weight", fastjson.TypeNumber); w != nil {
+	if w := f.optional(2, "weight", fastjson.TypeNumber); w != nil {
 		m.Weight = w.GetFloat64()
 	}
-	if c := f.opt(5, "cluster", fastjson.TypeNumber); c != nil {
+	if c := f.optional(5, "cluster", fastjson.TypeNumber); c != nil {
 		m.Cell = c.GetInt64()
 	}
 	return m, f.err
@@ -217,8 +218,8 @@
 	"restored": policy.ListRestored, "unavailable": policy.ListUnavailable,
 }
 
-func (d *Decoder) members(f *fields) (policy.MemberList, error) {
-	how := f.name(1, "how")
+func (d *Decoder) decodeMemberList(f *fieldReader) (policy.MemberList, error) {
+	how := f.internedStr(1, "how")
 	kind, ok := listKinds[how]
 	if f.err == nil && !ok {
 		f.fail("how", "unknown kind %q", how)
@@ -226,32 +227,32 @@
 	if f.err != nil || kind == policy.ListUnavailable {
 		return policy.MemberList{Kind: kind}, f.err
 	}
-	n := d.listNumber(f, 3)
-	if f.err == nil && !d.known[n] {
+	n := d.listSlot(f, 3)
+	if f.err == nil && !d.stored[n] {
 		f.fail("buffer", "list %d was never sent", n)
 	}
 	return policy.MemberList{Kind: kind, Members: d.lists[n]}, f.err
 }
 
-// fields reads the values of a message by place, keeping the first error.
-type fields struct {
-	vals []*fastjson.Value
-	d    *Decoder
-	err  error
+// fieldReader reads the values of a message by position and keeps the first error.
+type fieldReader struct {
+	values  []*fastjson.Value
+	decoder *Decoder
+	err     error
 }
 
-func (f *fields) fail(field, format string, args ...any) {
+func (f *fieldReader) fail(field, format string, args ...any) {
 	if f.err == nil {
 		f.err = fmt.Errorf("%s: %s", field, fmt.Sprintf(format, args...))
 	}
 }
 
-// opt returns the value in place i, or nil where it is absent or null.
-func (f *fields) opt(i int, field string, want fastjson.Type) *fastjson.Value {
-	if i >= len(f.vals) || f.vals[i].Type() == fastjson.TypeNull {
+// optional returns the value at position i, or nil if it is absent or null.
+func (f *fieldReader) optional(i int, field string, want fastjson.Type) *fastjson.Value {
+	if i >= len(f.values) || f.values[i].Type() == fastjson.TypeNull {
 		return nil
 	}
-	v := f.vals[i]
+	v := f.values[i]
 	if v.Type() != want {
 		f.fail(field, "want %s, got %s", want, v.Type())
 		return nil
@@ -259,34 +260,36 @@
 	return v
 }
 
-func (f *fields) need(i int, field string, want fastjson.Type) *fastjson.Value {
-	v := f.opt(i, field, want)
+func (f *fieldReader) required(i int, field string, want fastjson.Type) *fastjson.Value {
+	v := f.optional(i, field, want)
 	if v == nil {
 		f.fail(field, "missing")
 	}
 	return v
 }
 
-func (f *fields) str(i int, field string) string { return text(f.need(i, field, fastjson.TypeString)) }
+func (f *fieldReader) str(i int, field string) string {
+	return stringValue(f.required(i, field, fastjson.TypeString))
+}
 
-func (f *fields) optStr(i int, field string) string {
-	return text(f.opt(i, field, fastjson.TypeString))
+func (f *fieldReader) optStr(i int, field string) string {
+	return stringValue(f.optional(i, field, fastjson.TypeString))
 }
 
-func text(v *fastjson.Value) string {
+func stringValue(v *fastjson.Value) string {
 	if v == nil {
 		return ""
 	}
 	return string(v.GetStringBytes())
 }
 
-// name reads a string that comes again and again, without a copy for each.
-func (f *fields) name(i int, field string) string {
-	return f.d.intern(f.need(i, field, fastjson.TypeString))
+// internedStr reads a string that occurs in many messages, such as a server's name, without copying it each time.
+func (f *fieldReader) internedStr(i int, field string) string {
+	return f.decoder.intern(f.required(i, field, fastjson.TypeString))
 }
 
-func (f *fields) optName(i int, field string) string {
-	return f.d.intern(f.opt(i, field, fastjson.TypeString))
+func (f *fieldReader) optInternedStr(i int, field string) string {
+	return f.decoder.intern(f.optional(i, field, fastjson.TypeString))
 }
 
 func (d *Decoder) intern(v *fastjson.Value) string {
@@ -294,19 +297,19 @@
 		return ""
 	}
 	b := v.GetStringBytes()
-	if s, ok := d.names[string(b)]; ok {
+	if s, ok := d.internTable[string(b)]; ok {
 		return s
 	}
-	if d.names == nil || len(d.names) >= maxInterned {
-		d.names = make(map[string]string)
+	if d.internTable == nil || len(d.internTable) >= maxInterned {
+		d.internTable = make(map[string]string)
 	}
 	s := string(b)
-	d.names[s] = s
+	d.internTable[s] = s
 	return s
 }
 
-func (f *fields) int(i int, field string) int {
-	v := f.need(i, field, fastjson.TypeNumber)
+func (f *fieldReader) int(i int, field string) int {
+	v := f.required(i, field, fastjson.TypeNumber)
 	if v == nil {
 		return 0
 	}
@@ -317,8 +320,8 @@
 	return n
 }
 
-func (f *fields) uint(i int, field string) uint64 {
-	v := f.need(i, field, fastjson.TypeNumber)
+func (f *fieldReader) uint(i int, field string) uint64 {
+	v := f.required(i, field, fastjson.TypeNumber)
 	if v == nil {
 		return 0
 	}
@@ -329,15 +332,15 @@
 	return n
 }
 
-func (f *fields) ms(i int, field string) time.Duration {
-	return f.span(f.need(i, field, fastjson.TypeNumber), field)
+func (f *fieldReader) duration(i int, field string) time.Duration {
+	return f.toDuration(f.required(i, field, fastjson.TypeNumber), field)
 }
 
-func (f *fields) optMs(i int, field string) time.Duration {
-	return f.span(f.opt(i, field, fastjson.TypeNumber), field)
+func (f *fieldReader) optDuration(i int, field string) time.Duration {
+	return f.toDuration(f.optional(i, field, fastjson.TypeNumber), field)
 }
 
-func (f *fields) span(v *fastjson.Value, field string) time.Duration {
+func (f *fieldReader) toDuration(v *fastjson.Value, field string) time.Duration {
 	if v == nil {
 		return 0
 	}
@@ -346,62 +349,62 @@
 		f.fail(field, "out of range: %s", v)
 		return 0
 	}
-	return millis(ms)
+	return durationFromMs(ms)
 }
 
-// maxMs is the longest time read, in milliseconds (about 146 years): half of what a Duration holds.
+// maxMs is the largest accepted time in milliseconds (about 146 years), half of what a Duration can hold.
 const maxMs = math.MaxInt64 / 2e6
 
-// millis turns the wire's milliseconds into a Duration, in the wire's own grain of microseconds.
-func millis(ms float64) time.Duration {
+// durationFromMs converts the protocol's milliseconds to a Duration, rounded to the protocol's resolution of 1 µs.
+func durationFromMs(ms float64) time.Duration {
 	return time.Duration(math.Round(ms*1e3)) * time.Microsecond
 }
 
-func (f *fields) optBool(i int, field string) bool {
-	if i >= len(f.vals) {
+func (f *fieldReader) optBool(i int, field string) bool {
+	if i >= len(f.values) {
 		return false
 	}
-	switch f.vals[i].Type() {
+	switch f.values[i].Type() {
 	case fastjson.TypeTrue:
 		return true
 	case fastjson.TypeFalse, fastjson.TypeNull:
 		return false
 	}
-	f.fail(field, "want a bool, got %s", f.vals[i].Type())
+	f.fail(field, "want a bool, got %s", f.values[i].Type())
 	return false
 }
 
-func (f *fields) report(i int) []float64 {
-	v := f.opt(i, "metrics", fastjson.TypeArray)
+func (f *fieldReader) loadReport(i int) []float64 {
+	v := f.optional(i, "metrics", fastjson.TypeArray)
 	if v == nil {
 		return nil
 	}
-	row := make([]float64, 0, len(v.GetArray()))
-	for _, x := range v.GetArray() {
-		n := math.NaN() // a value that is absent
-		if x.Type() == fastjson.TypeNumber {
-			n = x.GetFloat64()
-		} else if x.Type() != fastjson.TypeNull {
-			f.fail("metrics", "want numbers, got %s", x.Type())
+	values := make([]float64, 0, len(v.GetArray()))
+	for _, element := range v.GetArray() {
+		number := math.NaN() // marks an absent value
+		if element.Type() == fastjson.TypeNumber {
+			number = element.GetFloat64()
+		} else if element.Type() != fastjson.TypeNull {
+			f.fail("metrics", "want numbers, got %s", element.Type())
 		}
-		row = append(row, n)
+		values = append(values, number)
 	}
-	return row
+	return values
 }
 
-// plain keeps a message's name to one plain line of bounded length, whatever it holds.
-func plain(name string) string {
-	const most = 60 // bytes; the wire's own names are shorter
-	q := strings.Trim(strconv.Quote(name), `"`)
-	return q[:min(len(q), most)]
+// escapeName escapes a message name for an error text, so that it is a single printable line of bounded length.
+func escapeName(name string) string {
+	const maxLen = 60 // bytes; all valid names are shorter
+	quoted := strings.Trim(strconv.Quote(name), `"`)
+	return quoted[:min(len(quoted), maxLen)]
 }
 
-// firstLine keeps a parser's error to one plain line of bounded length.
+// firstLine truncates a parser's error to its first line, and to a bounded length.
 func firstLine(err error) error {
-	const most = 200 // bytes; a parser may quote a whole line
+	const maxLen = 200 // bytes; the parser may quote the whole input line
 	s := err.Error()
 	for i := 0; i < len(s); i++ {
-		if s[i] == '\n' || i == most {
+		if s[i] == '\n' || i == maxLen {
 			return fmt.Errorf("%s", s[:i])
 		}
 	}
--- a/internal/wire/encode.go
+++ b/internal/wire/encode.go
@@ -8,14 +8,14 @@
 	"cobaltward/policy"
 )
 
-// names of the actions on the wire, by kind.
+// actionNames holds the message name of each action kind.
 var actionNames = [...]string{
 	policy.Send: "handOff", policy.Refuse: "notNow", policy.Fail: "abort", policy.Cancel: "stopAttempt",
 	policy.SetTimer: "wakeMe", policy.Probe: "poll", policy.SendToPeer: "announce", policy.CloseIdle: "freeLinks",
 	policy.Log: "sayLog", policy.WatchList: "listen", policy.FetchList: "readList",
 }
 
-// AppendAction appends the line for one action of an instance.
+// AppendAction appends the message for one action of a node.
 func AppendAction(b []byte, node int, a policy.Action) []byte {
 	b = append(b, `["`...)
 	b = append(b, actionNames[a.Kind]...)
@@ -50,13 +50,13 @@
 	return append(b, "]\n"...)
 }
 
-// AppendBroken appends the line that reports a crash of an instance's decisions.
+// AppendBroken appends the message that reports that a node's decision module panicked.
 func AppendBroken(b []byte, node int, text string) []byte {
 	b = strconv.AppendInt(append(b, `["broken",`...), int64(node), 10)
 	return append(appendString(b, text), "]\n"...)
 }
 
-// AppendYield appends the line that closes a reply.
+// AppendYield appends the message that ends the reply to a batch.
 func AppendYield(b []byte) []byte { return append(b, "[\"yield\"]\n"...) }
 
 func appendMs(b []byte, d time.Duration) []byte {
@@ -67,8 +67,8 @@
 	b = append(b, ',')
 	for i := 0; i < len(s); i++ {
 		if c := s[i]; c < 0x20 || c == '"' || c == '\\' || c >= 0x7f {
-			q, _ := json.Marshal(s) // a string always encodes
-			return append(b, q...)
+			quoted, _ := json.Marshal(s) // encoding a string can't fail
+			return append(b, quoted...)
 		}
 	}
 	b = append(append(b, '"'), s...)
--- a/internal/wire/settings.go
+++ b/internal/wire/settings.go
@@ -12,8 +12,8 @@
 	"cobaltward/policy"
 )
 
-// object reads the keys of a JSON object, keeping the first error. Keys it is not asked for are
-// skipped, and an absent key leaves the zero value.
+// object reads the values of a JSON object by key and keeps the first error. Unknown keys are ignored, and an absent
+// or null key yields the zero value.
 type object struct {
 	v    *fastjson.Value
 	path string
@@ -34,28 +34,28 @@
 	return nil
 }
 
-func (o object) fail(key, what string) {
+func (o object) fail(key, problem string) {
 	if *o.err == nil {
-		*o.err = fmt.Errorf("%s%s: %s", o.path, key, what)
+		*o.err = fmt.Errorf("%s%s: %s", o.path, key, problem)
 	}
 }
 
-func (o object) sub(key string) object {
+func (o object) child(key string) object {
 	return object{v: o.get(key, fastjson.TypeObject), path: o.path + key + ".", err: o.err}
 }
 
-func (o object) each(key string, do func(object)) {
+func (o object) each(key string, decode func(object)) {
 	v := o.get(key, fastjson.TypeArray)
 	if v == nil {
 		return
 	}
-	for i, e := range v.GetArray() {
-		at := fmt.Sprintf("%s%s[%d]", o.path, key, i)
-		if e.Type() != fastjson.TypeObject {
-			object{path: at, err: o.err}.fail("", "want object, got "+e.Type().String())
+	for i, element := range v.GetArray() {
+		path := fmt.Sprintf("%s%s[%d]", o.path, key, i)
+		if element.Type() != fastjson.TypeObject {
+			object{path: path, err: o.err}.fail("", "want object, got "+element.Type().String())
 			return
 		}
-		do(object{v: e, path: at + ".", err: o.err})
+		decode(object{v: element, path: path + ".", err: o.err})
 	}
 }
 
@@ -66,7 +66,7 @@
 	return 0
 }
 
-func (o object) whole(key string) int {
+func (o object) int(key string) int {
 	n := o.num(key)
 	if n != math.Trunc(n) || math.Abs(n) > math.MaxInt32 {
 		o.fail(key, "want a whole number")
@@ -75,13 +75,13 @@
 	return int(n)
 }
 
-func (o object) ms(key string) time.Duration {
+func (o object) duration(key string) time.Duration {
 	n := o.num(key)
 	if math.Abs(n) > maxMs {
 		o.fail(key, "out of range")
 		return 0
 	}
-	return millis(n)
+	return durationFromMs(n)
 }
 
 func (o object) strs(key string) []string {
@@ -89,63 +89,63 @@
 	if v == nil {
 		return nil
 	}
-	var all []string
-	for i, e := range v.GetArray() {
-		if e.Type() != fastjson.TypeString {
-			o.fail(fmt.Sprintf("%s[%d]", key, i), "want string, got "+e.Type().String())
+	var list []string
+	for i, element := range v.GetArray() {
+		if element.Type() != fastjson.TypeString {
+			o.fail(fmt.Sprintf("%s[%d]", key, i), "want string, got "+element.Type().String())
 			return nil
 		}
-		all = append(all, text(e))
+		list = append(list, stringValue(element))
 	}
-	return all
+	return list
 }
 
-func (o object) str(key string) string { return text(o.get(key, fastjson.TypeString)) }
+func (o object) str(key string) string { return stringValue(o.get(key, fastjson.TypeString)) }
 
-func (o object) flag(key string) bool {
+func (o object) bool(key string) bool {
 	v := o.get(key, fastjson.TypeTrue, fastjson.TypeFalse)
 	return v != nil && v.Type() == fastjson.TypeTrue
 }
 
-// word looks a string up in a table; absent means the table's entry for "".
-func word[T any](o object, key string, table map[string]T) T {
+// enumValue looks up the string at key in a table. An absent key selects the table's entry for "".
+func enumValue[T any](o object, key string, table map[string]T) T {
 	s := o.str(key)
-	t, ok := table[s]
+	value, ok := table[s]
 	if !ok {
 		o.fail(key, fmt.Sprintf("unknown word %q", s))
 	}
-	return t
+	return value
 }
 
 var (
-	repeats = map[string]policy.Repeat{"": policy.Never, "single_shot": policy.Never,
+	repeatPolicies = map[string]policy.Repeat{"": policy.Never, "single_shot": policy.Never,
 		"guarded": policy.Guarded, "free": policy.Free}
-	groups = map[string]policy.Group{"": policy.GroupCell, "cell": policy.GroupCell,
+	groupScopes = map[string]policy.Group{"": policy.GroupCell, "cell": policy.GroupCell,
 		"zone": policy.GroupZone, "all": policy.GroupAll}
-	modes  = map[string]bool{"": false, "automatic": false, "subscribe": true}
-	worths = map[string]bool{"": false, "request": false, "work": true}
+	subscribeByMode = map[string]bool{"": false, "automatic": false, "subscribe": true}
+	worthByWork     = map[string]bool{"": false, "request": false, "work": true}
 )
 
-// DecodeSettings reads the settings object from a stream, where a node's configuration holds it. It also returns the
-// object's text but for services and tenants, which may be many and are held one at a time.
+// DecodeSettings reads the settings object of a node's configuration from a stream. Services and tenants may be many,
+// so only the text of one entry is held at a time; the text of all other keys is returned beside the settings.
 func DecodeSettings(from *json.Decoder) (policy.Settings, []byte, error) {
 	var classes []policy.Class
 	var tenants []policy.Tenant
-	var one fastjson.Parser
-	var raw json.RawMessage // the text of one, in the same place each time
-	entry := func(array string, i int, do func(object)) error {
+	var parser fastjson.Parser
+	var raw json.RawMessage // reused for each entry
+	decodeEntry := func(array string, i int, decode func(object)) error {
 		if err := field.DecodeEntry(from, array, i, &raw); err != nil {
 			return err
 		}
-		v, err := one.ParseBytes(raw)
+		v, err := parser.ParseBytes(raw)
 		if err != nil {
 			return fmt.Errorf("%s[%d]: not JSON: %w", array, i, firstLine(err))
 		}
-		at := fmt.Sprintf("%s[%d]", array, i)
+		path := fmt.Sprintf("%s[%d]", array, i)
 		if v.Type() != fastjson.TypeObject {
-			return fmt.Errorf("%s: want object, got %s", at, v.Type())
+			return fmt.Errorf("%s: want object, got %s", path, v.Type())
 		}
-		do(object{v: v, path: at + ".", err: &err})
+		decode(object{v: v, path: path + ".", err: &err})
 		return err
 	}
 	rest := []byte{'{'}
@@ -153,11 +153,11 @@
 		switch key {
 		case "services":
 			return field.DecodeArray(from, key, func(i int) error {
-				return entry(key, i, func(o object) { classes = append(classes, class(o)) })
+				return decodeEntry(key, i, func(o object) { classes = append(classes, decodeClass(o)) })
 			})
 		case "tenants":
 			return field.DecodeArray(from, key, func(i int) error {
-				return entry(key, i, func(o object) { tenants = append(tenants, tenant(o)) })
+				return decodeEntry(key, i, func(o object) { tenants = append(tenants, decodeTenant(o)) })
 			})
 		}
 		if err := field.Decode(from, key, &raw); err != nil {
@@ -174,61 +174,65 @@
 		return policy.Settings{}, nil, err
 	}
 	rest = append(rest, '}')
-	v, err := one.ParseBytes(rest)
+	v, err := parser.ParseBytes(rest)
 	if err != nil {
 		return policy.Settings{}, nil, fmt.Errorf("not JSON: %w", firstLine(err))
 	}
-	set, err := settings(v)
-	set.Classes, set.Tenants = classes, tenants
-	return set, rest, err
+	s, err := decodeSettings(v)
+	s.Classes, s.Tenants = classes, tenants
+	return s, rest, err
 }
 
-// settings reads the object of a configure message.
-func settings(conf *fastjson.Value) (policy.Settings, error) {
+// decodeSettings decodes a settings object, as in a configure message.
+func decodeSettings(conf *fastjson.Value) (policy.Settings, error) {
 	var err error
 	o := object{v: conf, err: &err}
 	s := policy.Settings{
-		Node: o.whole("position"), Nodes: o.whole("groupSize"), Zone: o.str("zone"),
-		Subscribe: word(o, "registryMode", modes),
-		WarmKeys:  o.sub("familyInfo").flag("warmKeys"), WorthByWork: word(o, "worthBy", worths),
+		Node: o.int("position"), Nodes: o.int("groupSize"), Zone: o.str("zone"),
+		Subscribe: enumValue(o, "registryMode", subscribeByMode),
+		WarmKeys:  o.child("familyInfo").bool("warmKeys"), WorthByWork: enumValue(o, "worthBy", worthByWork),
 	}
-	o.each("services", func(c object) { s.Classes = append(s.Classes, class(c)) })
-	o.each("tenants", func(t object) { s.Tenants = append(s.Tenants, tenant(t)) })
-	lim := o.sub("limits")
+	o.each("services", func(c object) { s.Classes = append(s.Classes, decodeClass(c)) })
+	o.each("tenants", func(t object) { s.Tenants = append(s.Tenants, decodeTenant(t)) })
+	limits := o.child("limits")
 	s.Allowed = policy.Allowed{
-		Cancel: lim.flag("cancelling"), Hedge: lim.flag("secondCopies"), Probe: lim.flag("probes"),
-		Peers: lim.flag("peerMessages"), RetryAfter: lim.flag("retryAfter"),
-		MaxAttempts: lim.whole("maxAttempts"), MaxRetryAfter: lim.ms("maxRetryAfter"),
-		ConnIdle: lim.ms("connIdle"),
+		Cancel: limits.bool("cancelling"), Hedge: limits.bool("secondCopies"), Probe: limits.bool("probes"),
+		Peers: limits.bool("peerMessages"), RetryAfter: limits.bool("retryAfter"),
+		MaxAttempts: limits.int("maxAttempts"), MaxRetryAfter: limits.duration("maxRetryAfter"),
+		ConnIdle: limits.duration("connIdle"),
 	}
-	g := o.sub("guarantees")
+	guarantees := o.child("guarantees")
 	s.Rules = policy.Rules{
-		AnswerGrace: g.ms("graceToAnswer"), DrainGrace: g.ms("drainGrace"), ColdShare: g.num("coldShare"),
-		ColdFor: g.ms("cold"), OverloadMultiple: g.num("fallMultiple"), OverloadFor: g.ms("overloadFor"),
-		ListRefreshWithin: g.ms("mustAskIn"), AttemptBudget: budget(g),
+		AnswerGrace: guarantees.duration("graceToAnswer"), DrainGrace: guarantees.duration("drainGrace"),
+		ColdShare: guarantees.num("coldShare"), ColdFor: guarantees.duration("cold"),
+		OverloadMultiple: guarantees.num("fallMultiple"), OverloadFor: guarantees.duration("overloadFor"),
+		ListRefreshWithin: guarantees.duration("mustAskIn"), AttemptBudget: decodeBudget(guarantees),
 	}
-	s.Report = o.sub("report").strs("fields")
+	s.Report = o.child("report").strs("fields")
 	return s, err
 }
 
-func class(o object) policy.Class {
+func decodeClass(o object) policy.Class {
 	return policy.Class{
-		Name: o.str("name"), Aim: o.ms("aim"), AimStretch: o.num("aimStretch"), Deadline: o.ms("deadline"),
-		Repeat: word(o, "repeat", repeats), Group: word(o, "group", groups), Window: o.ms("window"),
-		LateWorth: o.num("lateWorth"), Worth: o.num("value"), Stream: o.flag("stream"),
+		Name: o.str("name"), Aim: o.duration("aim"), AimStretch: o.num("aimStretch"), Deadline: o.duration("deadline"),
+		Repeat: enumValue(o, "repeat", repeatPolicies), Group: enumValue(o, "group", groupScopes), Window: o.duration("window"),
+		LateWorth: o.num("lateWorth"), Worth: o.num("value"), Stream: o.bool("stream"),
 		Kinds: o.strs("servedOn"), Zones: o.strs("localitiesOnly"),
 	}
 }
 
-func tenant(o object) policy.Tenant {
+func decodeTenant(o object) policy.Tenant {
 	return policy.Tenant{Name: o.str("name"), Quota: o.num("quotaRps"), Share: o.num("fraction")}
 }
 
-// budget reads the rule on further attempts, which holds where any of its figures is present.
-func budget(g object) *policy.AttemptBudget {
+// decodeBudget decodes the budget for attempts beyond a request's first. The rule applies if any of its three keys is
+// present; otherwise the result is nil.
+func decodeBudget(guarantees object) *policy.AttemptBudget {
 	number := fastjson.TypeNumber
-	if g.get("minExtra", number) == nil && g.get("budgetShare", number) == nil && g.get("ratioSpan", number) == nil {
+	if guarantees.get("minExtra", number) == nil && guarantees.get("budgetShare", number) == nil &&
+		guarantees.get("ratioSpan", number) == nil {
 		return nil
 	}
-	return &policy.AttemptBudget{MinExtra: g.num("minExtra"), ExtraShare: g.num("budgetShare"), Span: g.ms("ratioSpan")}
+	return &policy.AttemptBudget{MinExtra: guarantees.num("minExtra"), ExtraShare: guarantees.num("budgetShare"),
+		Span: guarantees.duration("ratioSpan")}
 }
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -12,7 +12,7 @@
 
 const ms = time.Millisecond
 
-func decode(t *testing.T, d *Decoder, line string) Line {
+func mustDecode(t *testing.T, d *Decoder, line string) Line {
 	t.Helper()
 	l, err := d.Decode([]byte(line))
 	if err != nil {
@@ -23,7 +23,7 @@
 
 func TestDecodesEveryEvent(t *testing.T) {
 	var d Decoder
-	decode(t, &d, `["list",3,[[null,"Running",1,"k","a",0,"s1"],[6100.5,"Stopping",1.5,"k","b",7,"s2"],`+
+	mustDecode(t, &d, `["list",3,[[null,"Running",1,"k","a",0,"s1"],[6100.5,"Stopping",1.5,"k","b",7,"s2"],`+
 		`[0,"Deleted",1,"k","b",7,"s3",null,"more"]]]`)
 	list := []policy.Member{
 		{Server: "s1", Zone: "a", Kind: "k", Weight: 1},
@@ -35,7 +35,7 @@
 		line string
 		want Line
 	}{
-		{`["mark",8412.25]`, Line{Kind: Mark, Now: 8412*ms + 250*time.Microsecond}},
+		{`["mark",8412.25]`, Line{Kind: BeginBatch, Now: 8412*ms + 250*time.Microsecond}},
 		{`["eob"]`, Line{Kind: EndBatch}},
 		{`["shutdown",3]`, Line{Kind: Shutdown, Node: 3}},
 		{`["reminder",3,9223372036854775808]`, Line{Kind: Event, Node: 3, Event: policy.Timer{Token: 1 << 63}}},
@@ -59,26 +59,26 @@
 		{`["peersKnown",3,"unavailable",41,null]`, Line{Kind: Event, Node: 3,
 			Event: policy.MemberList{Kind: policy.ListUnavailable}}},
 	} {
-		if got := decode(t, &d, c.line); !reflect.DeepEqual(got, c.want) {
+		if got := mustDecode(t, &d, c.line); !reflect.DeepEqual(got, c.want) {
 			t.Errorf("%s\n got %+v\nwant %+v", c.line, got, c.want)
 		}
 	}
 }
 
 func TestDecodesEveryCode(t *testing.T) {
-	notRun := map[string]bool{"busy": true, "econnrefused": true, "skipped": true}
+	provesNotRun := map[string]bool{"busy": true, "econnrefused": true, "skipped": true}
 	var d Decoder
-	for word := range codes {
-		l := decode(t, &d, `["completed",1,"id",0,"s","`+word+`",1,false]`)
-		if got := l.Event.(policy.Outcome).Code.NotRun(); got != notRun[word] {
-			t.Errorf("%s: NotRun %v", word, got)
+	for code := range outcomeCodes {
+		l := mustDecode(t, &d, `["completed",1,"id",0,"s","`+code+`",1,false]`)
+		if got := l.Event.(policy.Outcome).Code.NotRun(); got != provesNotRun[code] {
+			t.Errorf("%s: NotRun %v", code, got)
 		}
 	}
 }
 
 func TestDecodesSettings(t *testing.T) {
 	var d Decoder
-	l := decode(t, &d, `["configure",2,7,{"position":1,"groupSize":4,"zone":"a","registryMode":"subscribe",`+
+	l := mustDecode(t, &d, `["configure",2,7,{"position":1,"groupSize":4,"zone":"a","registryMode":"subscribe",`+
 		`"services":[{"name":"x","aim":250,"deadline":600,"repeat":"guarded","group":"zone","window":5000,"new":1,`+
 		`"servedOn":["k1","k2"],"localitiesOnly":["a"]},{"name":"y","servedOn":null}],"worthBy":"work",`+
 		`"tenants":[{"name":"t","quotaRps":42,"fraction":0.4}],"limits":{"maxAttempts":4,"cancelling":true,"connIdle":5000},`+
@@ -97,19 +97,19 @@
 	}
 }
 
-// A node's configuration holds the settings on their own; they read the same.
-func TestParsesSettingsAlone(t *testing.T) {
+// Settings from a node's configuration decode to the same value as settings in a configure message.
+func TestDecodesSettingsFromStream(t *testing.T) {
 	const conf = `{"position":1,"groupSize":4,"services":[{"name":"x","deadline":600,"repeat":"free"}]}`
 	got, rest, err := DecodeSettings(json.NewDecoder(strings.NewReader(conf)))
 	if err != nil {
 		t.Fatal(err)
 	}
 	var d Decoder
-	if want := decode(t, &d, `["configure",2,7,`+conf+`]`).Settings; !reflect.DeepEqual(got, want) {
+	if want := mustDecode(t, &d, `["configure",2,7,`+conf+`]`).Settings; !reflect.DeepEqual(got, want) {
 		t.Errorf("got %+v\nwant %+v", got, want)
 	}
 	if want := `{"position":1,"groupSize":4}`; string(rest) != want {
-		t.Errorf("the rest is %s, want %s", rest, want)
+		t.Errorf("remaining settings are %s, want %s", rest, want)
 	}
 	for raw, want := range map[string]string{`{`: "unexpected EOF", `[]`: "want an object", `{"zone":1}`: "zone",
 		`{"services":7}`: "services: want array, got number", `{"tenants":[{},7]}`: "tenants[1]: want object, got number",
@@ -117,7 +117,7 @@
 		`{"services":[{"repeat":"always"}]}`: `services[0].repeat: unknown word "always"`,
 		`{"services":[{}`:                    "services: unexpected EOF", `{"limits":{"maxAttempts":0.5}}`: "limits.maxAttempts: want a whole number"} {
 		if _, _, err := DecodeSettings(json.NewDecoder(strings.NewReader(raw))); err == nil || !strings.Contains(err.Error(), want) {
-			t.Errorf("%s: got %v, want it to name %q", raw, err, want)
+			t.Errorf("%s: got %v, want an error containing %q", raw, err, want)
 		}
 	}
 }
@@ -150,19 +150,19 @@
 		var d Decoder
 		_, err := d.Decode([]byte(line))
 		if err == nil || !strings.Contains(err.Error(), want) {
-			t.Errorf("%s: got %v, want it to name %q", line, err, want)
+			t.Errorf("%s: got %v, want an error containing %q", line, err, want)
 		}
 	}
 }
 
-// A list that takes a number anew must not change what instances already hold.
+// Storing a new list in a used slot must not change the list that instances already hold.
 func TestListsAreNotOverwritten(t *testing.T) {
 	var d Decoder
-	decode(t, &d, `["list",0,[[null,"Running",1,"k","a",0,"s1"]]]`)
-	first := decode(t, &d, `["peersKnown",3,"replace",1,0]`).Event.(policy.MemberList)
-	decode(t, &d, `["list",0,[[null,"Running",1,"k","a",0,"s2"]]]`)
+	mustDecode(t, &d, `["list",0,[[null,"Running",1,"k","a",0,"s1"]]]`)
+	first := mustDecode(t, &d, `["peersKnown",3,"replace",1,0]`).Event.(policy.MemberList)
+	mustDecode(t, &d, `["list",0,[[null,"Running",1,"k","a",0,"s2"]]]`)
 	if first.Members[0].Server != "s1" {
-		t.Error("the older list changed")
+		t.Error("the earlier list changed")
 	}
 }
 
@@ -195,7 +195,7 @@
 	}
 }
 
-// Whatever the line, the decoder returns a line or a plain one-line error.
+// For any input, the decoder returns a decoded line or a one-line error.
 func FuzzDecode(f *testing.F) {
 	for _, s := range []string{`["mark",1]`, `["ingress",3,"id","c","t","k",240.0,12.0,true,true]`,
 		`["list",0,[[1,"Running",1,"k","a",0,"s"]]]`, `["peersKnown",3,"update",1,0]`,
@@ -205,7 +205,7 @@
 	f.Fuzz(func(t *testing.T, line []byte) {
 		var d Decoder
 		if _, err := d.Decode(line); err != nil && strings.Contains(err.Error(), "\n") {
-			t.Errorf("error of more than one line: %q", err)
+			t.Errorf("error spans several lines: %q", err)
 		}
 	})
 }
