--- a/cmd/scalerun/main.go
+++ b/cmd/scalerun/main.go
@@ -1,5 +1,5 @@
-// Command scalerun runs plans that measure nodes at sizes that one machine holds only in part, and reports
-// the results.
+// Command scalerun runs plans that measure nodes at fleet sizes that one machine can run only in part, and prints the
+// results.
 package main
 
 import (
@@ -17,7 +17,7 @@
 	"cobaltward/internal/scale"
 )
 
-// commands are what the program takes.
+// commands holds the program's subcommands.
 type commands struct {
 	Run    runCommand    `cmd:"" help:"Run a plan's steps and write what they measure."`
 	Report reportCommand `cmd:"" help:"Print a result as tables; of several runs the median, the least and the most."`
@@ -35,7 +35,7 @@
 	Repeat       int      `help:"Run the whole plan this often, into one result." default:"1"`
 }
 
-// Run runs the plan. What was measured before an error is written all the same.
+// Run executes the plan. After an error it still writes what was measured before.
 func (c runCommand) Run() error {
 	if c.Repeat < 1 || c.Repeat > 100 {
 		return fmt.Errorf("--repeat: want 1 to 100, got %d", c.Repeat)
@@ -49,10 +49,10 @@
 	}
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
 	defer stop()
-	res, err := scale.Execute(ctx, c.Plan, scale.Options{NodeBinary: c.NodeBinary, Program: self, Steps: c.Step,
+	result, err := scale.Execute(ctx, c.Plan, scale.Options{NodeBinary: c.NodeBinary, Program: self, Steps: c.Step,
 		Seed: c.Seed, Repeat: c.Repeat, MemoryMB: c.NodeMemoryMB})
-	if len(res.Runs) > 0 {
-		err = errors.Join(err, scale.WriteResult(c.Out, res))
+	if len(result.Runs) > 0 {
+		err = errors.Join(err, scale.WriteResult(c.Out, result))
 	}
 	return err
 }
@@ -61,13 +61,13 @@
 	Result string `arg:"" help:"A result that run has written."`
 }
 
-// Run prints the tables.
+// Run prints a result as tables.
 func (c reportCommand) Run(out io.Writer) error {
-	res, err := scale.ReadResult(c.Result)
+	result, err := scale.ReadResult(c.Result)
 	if err != nil {
 		return err
 	}
-	return scale.Report(out, res)
+	return scale.Report(out, result)
 }
 
 type sharesCommand struct {
@@ -75,20 +75,20 @@
 	Out  string `help:"Write the result there instead of to standard output." placeholder:"FILE"`
 }
 
-// Run runs the model.
+// Run runs the shares model and writes its result.
 func (c sharesCommand) Run() error {
-	res, err := scale.Shares(c.Seed)
+	result, err := scale.SimulateShares(c.Seed)
 	if err != nil {
 		return err
 	}
-	return scale.WriteResult(c.Out, res)
+	return scale.WriteResult(c.Out, result)
 }
 
 type childCommand struct {
 	Kind string `arg:""`
 }
 
-// Run answers the parent until it closes the input.
+// Run serves the parent's calls until the parent closes standard input.
 func (c childCommand) Run() error { return scale.ServeChild(c.Kind) }
 
 func main() {
@@ -96,34 +96,35 @@
 	os.Exit(run(os.Args[1:], os.Stdout, os.Stderr))
 }
 
-// run returns the exit code: 2 for arguments that can't be read, 1 for what fails later.
-func run(args []string, out, errs io.Writer) (code int) {
-	exited := -1
-	parser, err := kong.New(&commands{}, kong.Name("scalerun"), kong.Writers(out, errs),
-		kong.Description("Measure nodes at sizes that one machine holds only in part."),
-		kong.BindTo(out, (*io.Writer)(nil)), kong.Exit(func(code int) { exited = code; panic(exit{}) }))
+// run returns the exit code: 2 for invalid arguments, 1 if the command fails.
+func run(args []string, stdout, stderr io.Writer) (code int) {
+	exitCode := -1
+	parser, err := kong.New(&commands{}, kong.Name("scalerun"), kong.Writers(stdout, stderr),
+		kong.Description("Measure nodes at fleet sizes that one machine can run only in part."),
+		kong.BindTo(stdout, (*io.Writer)(nil)), kong.Exit(func(code int) { exitCode = code; panic(exitPanic{}) }))
 	if err != nil {
-		fmt.Fprintln(errs, "scalerun:", err)
+		fmt.Fprintln(stderr, "scalerun:", err)
 		return 2
 	}
-	defer func() { // kong's help goes on unless its exit doesn't return
-		if p := recover(); p != nil {
-			if _, ours := p.(exit); !ours {
-				panic(p)
+	defer func() { // kong expects its exit function not to return: after printing help it would go on
+		if recovered := recover(); recovered != nil {
+			if _, isExit := recovered.(exitPanic); !isExit {
+				panic(recovered)
 			}
-			code = exited
+			code = exitCode
 		}
 	}()
 	ctx, err := parser.Parse(args)
 	if err != nil {
-		fmt.Fprintln(errs, "scalerun:", err)
+		fmt.Fprintln(stderr, "scalerun:", err)
 		return 2
 	}
 	if err := ctx.Run(); err != nil {
-		fmt.Fprintln(errs, "scalerun:", err)
+		fmt.Fprintln(stderr, "scalerun:", err)
 		return 1
 	}
 	return 0
 }
 
-type exit struct{}
+// exitPanic is the panic value by which kong's exit function leaves the parser.
+type exitPanic struct{}
--- a/cmd/scalerun/main_test.go
+++ b/cmd/scalerun/main_test.go
@@ -15,7 +15,7 @@
 	"cobaltward/internal/scale"
 )
 
-// TestMain stands in for the programs that a run starts: its own children, and the node.
+// TestMain lets the test binary also act as the programs that a run starts: scalerun's child processes and the node.
 func TestMain(m *testing.M) {
 	slog.SetDefault(slog.New(slog.NewTextHandler(os.Stderr, nil)))
 	switch {
@@ -32,15 +32,15 @@
 }
 
 func runNode() error {
-	c, err := node.LoadConfig(os.Getenv)
+	config, err := node.LoadConfig(os.Getenv)
 	if err != nil {
 		return err
 	}
-	clients, err := net.Listen("tcp", c.Listen)
+	clients, err := net.Listen("tcp", config.Listen)
 	if err != nil {
 		return err
 	}
-	return node.Run(context.Background(), c, node.Listeners{Clients: clients}, nil)
+	return node.Run(context.Background(), config, node.Listeners{Clients: clients}, nil)
 }
 
 const tinyPlan = `name = "tiny"
@@ -64,8 +64,9 @@
 part = 0.5
 `
 
-// A run counts each change at each node, and each request.
-func TestARunCountsChangesAndRequests(t *testing.T) {
+// Guards against a run that loses changes or requests: each change must be accounted for at each node, either as in
+// force or as not in force, and each request as served, refused or failed.
+func TestRunCountsChangesAndRequests(t *testing.T) {
 	dir := t.TempDir()
 	t.Setenv("TMPDIR", dir)
 	plan := filepath.Join(dir, "plan.toml")
@@ -76,38 +77,38 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	res, err := scale.Execute(t.Context(), plan, scale.Options{NodeBinary: self, Program: self, MemoryMB: 192})
+	result, err := scale.Execute(t.Context(), plan, scale.Options{NodeBinary: self, Program: self, MemoryMB: 192})
 	if err != nil {
 		t.Fatal(err)
 	}
-	s := res.Runs[0].Steps[0]
-	for kind, k := range map[string]*scale.KindResult{"real": s.Real, "hollow": s.Hollow} {
-		if n := k.Quiet.Changes + k.Loaded.Changes; n != 6 {
+	step := result.Runs[0].Steps[0]
+	for kind, nodes := range map[string]*scale.NodeKindResult{"real": step.Real, "hollow": step.Hollow} {
+		if n := nodes.Quiet.Changes + nodes.Loaded.Changes; n != 6 {
 			t.Errorf("%s: %d changes, want 6", kind, n)
 		}
-		if k.ControlCPU == nil || k.LogBytes == nil {
-			t.Errorf("%s: CPU or log bytes were not measured", kind)
+		if nodes.ControlCPU == nil || nodes.LogBytesPerNode == nil {
+			t.Errorf("%s: CPU time or log bytes are missing", kind)
 		}
-		for _, p := range []*scale.PartResult{k.Quiet, k.Loaded} {
-			if p.InForce != nil && p.InForce.Count+*p.NotInForce != int64(p.Changes*k.Nodes) {
-				t.Errorf("%s: %d pairs of node and change in force and %d not, want %d in all", kind, p.InForce.Count,
-					*p.NotInForce, p.Changes*k.Nodes)
+		for _, period := range []*scale.PeriodResult{nodes.Quiet, nodes.Loaded} {
+			if period.InForce != nil && period.InForce.Count+*period.NotInForce != int64(period.Changes*nodes.Nodes) {
+				t.Errorf("%s: %d pairs of node and change in force and %d not in force, want %d in total", kind, period.InForce.Count,
+					*period.NotInForce, period.Changes*nodes.Nodes)
 			}
 		}
 	}
-	if l := s.Load; l.Sent == 0 || l.Sent != l.Served+l.Refused+l.Failed {
-		t.Errorf("load: %+v", *l)
+	if load := step.Load; load.Sent == 0 || load.Sent != load.Served+load.Refused+load.Failed {
+		t.Errorf("load: %+v", *load)
 	}
-	if s.Real.AgainToReady == nil || s.Real.AgainToReady.Count != 1 || s.Real.StartToReady.Count != 1 {
-		t.Errorf("real: %+v", *s.Real)
+	if step.Real.RestartToReady == nil || step.Real.RestartToReady.Count != 1 || step.Real.StartToReady.Count != 1 {
+		t.Errorf("real: %+v", *step.Real)
 	}
-	left, err := filepath.Glob(filepath.Join(dir, "scalerun-*"))
-	if err != nil || len(left) > 0 {
-		t.Errorf("left behind: %v, %v", left, err)
+	leftovers, err := filepath.Glob(filepath.Join(dir, "scalerun-*"))
+	if err != nil || len(leftovers) > 0 {
+		t.Errorf("temporary files left behind: %v, %v", leftovers, err)
 	}
 }
 
-func TestBadArgumentsAndFilesGetOneLine(t *testing.T) {
+func TestBadArgumentsAndFilesPrintOneLine(t *testing.T) {
 	dir := t.TempDir()
 	bad := filepath.Join(dir, "bad")
 	if err := os.WriteFile(bad, []byte(`{"plan":"x"}`), 0o600); err != nil {
@@ -145,7 +146,7 @@
 			t.Errorf("%q: code %d, %q, %q", args, code, out.String(), errs.String())
 		}
 		if strings.Contains(out.String(), "child") {
-			t.Errorf("%q shows the children's command", args)
+			t.Errorf("%q shows the hidden child command", args)
 		}
 	}
 }
--- a/internal/node/accept_test.go
+++ b/internal/node/accept_test.go
@@ -7,7 +7,7 @@
 	"testing"
 )
 
-// failingListener fails as told each time before it has a connection to give.
+// failingListener returns the errors one by one, and accepts connections after that.
 type failingListener struct {
 	net.Listener
 	errs []error
@@ -22,9 +22,9 @@
 	return nil, &net.OpError{Op: "accept", Net: "tcp", Err: os.NewSyscallError("accept4", err)}
 }
 
-// Whatever accept(2) says of a connection that failed, or of what the system lacks for a moment, the node goes on
-// accepting.
-func TestAcceptGoesOnAfterErrorsThatPass(t *testing.T) {
+// accept(2) also returns errors of a connection that has failed already, and of temporary resource shortages. The node
+// keeps accepting after all of them.
+func TestAcceptRetriesTemporaryErrors(t *testing.T) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -34,23 +34,23 @@
 		syscall.ENETDOWN, syscall.EPROTO, syscall.ENOPROTOOPT, syscall.EHOSTDOWN, syscall.ENONET, syscall.EHOSTUNREACH,
 		syscall.EOPNOTSUPP, syscall.ENETUNREACH, syscall.EPERM, syscall.EINTR, syscall.EAGAIN, syscall.ETIMEDOUT, syscall.ENOSR,
 		syscall.ECONNRESET, syscall.EADDRNOTAVAIL, syscall.EIO} {
-		theirs, err := net.Dial("tcp", ln.Addr().String())
+		client, err := net.Dial("tcp", ln.Addr().String())
 		if err != nil {
 			t.Fatal(err)
 		}
 		l := newClients(&failingListener{ln, []error{code, code, code}}, 100)
-		ours, err := l.Accept()
+		accepted, err := l.Accept()
 		if err != nil {
 			t.Errorf("after %v: %v", code, err)
-			ours, _ = ln.Accept()
+			accepted, _ = ln.Accept()
 		}
-		ours.Close()
-		theirs.Close()
+		accepted.Close()
+		client.Close()
 	}
 }
 
-// A listener that is closed, or that is none, is at its end.
-func TestAcceptEndsWithItsListener(t *testing.T) {
+// Accept fails for a closed listener and for a descriptor that is not a listening socket.
+func TestAcceptFailsOnClosedListener(t *testing.T) {
 	for _, code := range []error{net.ErrClosed, syscall.EBADF, syscall.EINVAL, syscall.ENOTSOCK} {
 		if c, err := newClients(&failingListener{errs: []error{code}}, 100).Accept(); err == nil {
 			t.Errorf("after %v: %v", code, c)
--- a/internal/node/admin_test.go
+++ b/internal/node/admin_test.go
@@ -11,8 +11,8 @@
 	"time"
 )
 
-// startWithAdmin runs a whole node with an admin listener.
-func startWithAdmin(t *testing.T, c Config) (addr, operator string) {
+// startNodeWithAdmin runs a whole node with an admin listener, and returns the addresses of both listeners.
+func startNodeWithAdmin(t *testing.T, c Config) (addr, adminAddr string) {
 	t.Helper()
 	var listeners [2]net.Listener
 	for i := range listeners {
@@ -22,23 +22,23 @@
 		}
 	}
 	ctx, cancel := context.WithCancel(context.Background())
-	ended := make(chan error, 1)
-	go func() { ended <- Run(ctx, c, Listeners{Clients: listeners[0], Operators: listeners[1]}, nil) }()
+	runResult := make(chan error, 1)
+	go func() { runResult <- Run(ctx, c, Listeners{Clients: listeners[0], Operators: listeners[1]}, nil) }()
 	t.Cleanup(func() {
 		cancel()
-		if err := receive(t, "the node's end", ended); err != nil {
+		if err := receive(t, "the node to stop", runResult); err != nil {
 			t.Error(err)
 		}
 	})
-	operator = listeners[1].Addr().String()
-	await(t, "readiness", func() bool { return call(t, operator, "GET", "/status") == 200 })
-	return listeners[0].Addr().String(), operator
+	adminAddr = listeners[1].Addr().String()
+	await(t, "readiness", func() bool { return callAdmin(t, adminAddr, "GET", "/status") == 200 })
+	return listeners[0].Addr().String(), adminAddr
 }
 
-// call makes one call at the admin listener and returns its status.
-func call(t *testing.T, operator, method, path string) int {
+// callAdmin sends one request to the admin listener and returns the status code.
+func callAdmin(t *testing.T, adminAddr, method, path string) int {
 	t.Helper()
-	req, err := http.NewRequestWithContext(t.Context(), method, "http://"+operator+path, nil)
+	req, err := http.NewRequestWithContext(t.Context(), method, "http://"+adminAddr+path, nil)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -56,12 +56,12 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	d := startAdmin(ln, "n0", life, newMetrics().handler())
-	t.Cleanup(d.close)
+	admin := startAdmin(ln, "n0", life, newMetrics().handler())
+	t.Cleanup(admin.close)
 	return ln.Addr().String()
 }
 
-func TestAdminAnswersCalls(t *testing.T) {
+func TestAdminEndpoints(t *testing.T) {
 	var life lifecycle
 	defer life.stopDraining()
 	addr := testAdminServer(t, &life)
@@ -97,7 +97,7 @@
 		case "LEAVE":
 			life.beginLeaving(time.Second)
 		default:
-			if got := call(t, addr, c.method, strings.ReplaceAll(c.path, " ", "%20")); got != c.want {
+			if got := callAdmin(t, addr, c.method, strings.ReplaceAll(c.path, " ", "%20")); got != c.want {
 				t.Errorf("%s %s: %d, want %d", c.method, c.path, got, c.want)
 			}
 		}
@@ -107,12 +107,12 @@
 	}
 }
 
-// What is no call gets an error or a close, one call is all that a connection gets, and a 405 says what
-// is allowed.
-func TestAdminTurnsNoiseAway(t *testing.T) {
+// Malformed input to the admin listener gets an error response or a closed connection, a connection serves only one
+// request, and a 405 response lists the allowed methods.
+func TestAdminRejectsMalformedRequests(t *testing.T) {
 	var life lifecycle
 	addr := testAdminServer(t, &life)
-	var noise sync.WaitGroup
+	var calls sync.WaitGroup
 	const status = "GET /status HTTP/1.1\r\nHost: a\r\n\r\n"
 	for raw, want := range map[string]string{
 		"":                                  "",
@@ -126,33 +126,33 @@
 		"PUT /active HTTP/1.1\r\nHost: a\r\nContent-Length: 9\r\n\r\n": "HTTP/1.1 405",
 		"GET /" + strings.Repeat("x", 64<<10):                          "HTTP/1.1 4",
 	} {
-		noise.Go(func() {
+		calls.Go(func() {
 			c, err := net.Dial("tcp", addr)
 			if err != nil {
 				t.Error(err)
 				return
 			}
 			defer c.Close()
-			_, _ = io.WriteString(c, raw) // the node may close before all is written
-			_ = c.SetReadDeadline(time.Now().Add(long))
+			_, _ = io.WriteString(c, raw) // the node may close the connection before everything is written
+			_ = c.SetReadDeadline(time.Now().Add(testTimeout))
 			got, err := io.ReadAll(c)
 			if ne, ok := err.(net.Error); ok && ne.Timeout() {
-				t.Errorf("%.40q: the connection stays open", raw)
+				t.Errorf("%.40q: the connection was left open", raw)
 			}
 			if !strings.HasPrefix(string(got), want) || strings.Count(string(got), "HTTP/1.1 ") > 1 ||
 				strings.Contains(want, "405") && !strings.Contains(string(got), "\nAllow: POST\r") {
-				t.Errorf("%.40q: answered %.120q, want %q", raw, got, want)
+				t.Errorf("%.40q: got response %.120q, want %q", raw, got, want)
 			}
 		})
 	}
-	noise.Wait()
+	calls.Wait()
 	if life.phase() != starting {
-		t.Errorf("noise made it %v", life.phase())
+		t.Errorf("malformed input changed the phase to %v", life.phase())
 	}
 }
 
-// Callers who finish no call keep nobody out, however many they are.
-func TestAdminStaysOpenToOthers(t *testing.T) {
+// Any number of callers that connect and never complete a request must not lock out others.
+func TestStalledCallersDoNotBlockAdmin(t *testing.T) {
 	var life lifecycle
 	life.markServersKnown()
 	addr := testAdminServer(t, &life)
@@ -165,20 +165,20 @@
 		if i%2 == 0 {
 			_, _ = io.WriteString(c, "POST /standby HTTP/1.1\r\nHo")
 		}
-		if got := call(t, addr, "GET", "/status"); got != 200 {
-			t.Fatalf("with %d such callers: %d", i+1, got)
+		if got := callAdmin(t, addr, "GET", "/status"); got != 200 {
+			t.Fatalf("with %d stalled callers: status %d", i+1, got)
 		}
 	}
 }
 
 // The admin listener exports the counters of requests, attempts and rules in the Prometheus text format.
 func TestAdminExportsMetrics(t *testing.T) {
-	addr := httpServer(t, func(http.ResponseWriter, *http.Request) {})
-	node, operator := startWithAdmin(t, testConfig(t, knownList(addr)))
-	if resp, _ := do(t, newRequest(t, node, "GET", "read", "r1", "")); resp.StatusCode != http.StatusOK {
+	addr := startHTTPServer(t, func(http.ResponseWriter, *http.Request) {})
+	node, adminAddr := startNodeWithAdmin(t, testConfig(t, memberListJSON(addr)))
+	if resp, _ := doRequest(t, newRequest(t, node, "GET", "read", "r1", "")); resp.StatusCode != http.StatusOK {
 		t.Fatal(resp.Status)
 	}
-	resp, err := http.Get("http://" + operator + "/metrics")
+	resp, err := http.Get("http://" + adminAddr + "/metrics")
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -191,7 +191,7 @@
 		`wayhold_rule_violations_total{rule="answer_late"} 0`, `wayhold_rule_denials_total{rule="attempt_after_departure"} 0`,
 		"wayhold_ready 1", "wayhold_attempt_seconds_count 1"} {
 		if !strings.Contains(string(text), want+"\n") {
-			t.Errorf("%s is not among the metrics", want)
+			t.Errorf("%s is missing from the metrics", want)
 		}
 	}
 }
--- a/internal/node/client_request_test.go
+++ b/internal/node/client_request_test.go
@@ -6,32 +6,33 @@
 	"testing"
 )
 
-// A handler that promises that nothing ran, and an attempt, exclude each other in whatever order they come.
-func TestAnAttemptAndThePromiseOfNoneExcludeEachOther(t *testing.T) {
+// The start of an attempt and a handler's refusal, which promises that no attempt was made, exclude each other in whatever
+// order they happen.
+func TestAttemptAndHandlerRefusalAreExclusive(t *testing.T) {
 	const rounds = 20_000
 	for range rounds {
 		x := testClientRequest(http.MethodGet, "r1", "")
-		var tried, answered bool
-		var both sync.WaitGroup
-		both.Go(func() { tried = x.beginAttempt() })
-		both.Go(func() { answered = x.claimByHandler() })
-		both.Wait()
+		var attempted, answered bool
+		var wg sync.WaitGroup
+		wg.Go(func() { attempted = x.beginAttempt() })
+		wg.Go(func() { answered = x.claimByHandler() })
+		wg.Wait()
 		switch refused := x.handlerAnswer().status == http.StatusServiceUnavailable; {
 		case !answered:
-			t.Fatal("nobody else ended the request, and its handler could not")
-		case refused == tried:
-			t.Fatalf("an attempt began: %v, and that none did is promised: %v", tried, refused)
+			t.Fatal("the handler could not end a request that was open")
+		case refused == attempted:
+			t.Fatalf("an attempt began: %v, the answer promises that none did: %v", attempted, refused)
 		}
 	}
 }
 
-// A request is ended once, and nothing is tried after that.
-func TestARequestIsEndedOnce(t *testing.T) {
-	for _, tried := range []bool{false, true} {
+// A request ends exactly once, and no attempt begins after that.
+func TestRequestEndsOnce(t *testing.T) {
+	for _, attempted := range []bool{false, true} {
 		for _, first := range []requestState{answeredByLoop, refusedByHandler, clientLeft} {
 			x := testClientRequest(http.MethodGet, "r1", "")
-			if tried && !x.beginAttempt() {
-				t.Fatal("an open request can't be tried")
+			if attempted && !x.beginAttempt() {
+				t.Fatal("an attempt for an open request can't begin")
 			}
 			end := func(by requestState) bool {
 				if by == refusedByHandler {
@@ -40,12 +41,12 @@
 				return x.claim(by)
 			}
 			if !x.currentState().isOpen() || !end(first) || x.currentState().isOpen() {
-				t.Fatalf("state %d: it can't be ended", first)
+				t.Fatalf("state %d: an open request can't be ended", first)
 			}
 			state := x.currentState()
 			for _, second := range []requestState{answeredByLoop, refusedByHandler, clientLeft} {
 				if end(second) || x.beginAttempt() || x.currentState() != state {
-					t.Errorf("state %d: ended again, or tried, by %d", state, second)
+					t.Errorf("state %d: ended again by %d, or another attempt began", state, second)
 				}
 			}
 		}
--- a/internal/node/clients_test.go
+++ b/internal/node/clients_test.go
@@ -10,21 +10,21 @@
 	"time"
 )
 
-// testClients accepts connections that a test dials.
-func testClients(t *testing.T, most int) (l *clientListener, dial func() (theirs net.Conn, ours *clientConn)) {
+// testClientListener returns a listener with the given limit, and a function that connects to it and returns both ends.
+func testClientListener(t *testing.T, limit int) (l *clientListener, dial func() (client net.Conn, conn *clientConn)) {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	l = newClients(ln, most)
+	l = newClients(ln, limit)
 	t.Cleanup(func() { l.Close() })
 	return l, func() (net.Conn, *clientConn) {
-		theirs, err := net.Dial("tcp", ln.Addr().String())
+		client, err := net.Dial("tcp", ln.Addr().String())
 		if err != nil {
 			t.Fatal(err)
 		}
-		t.Cleanup(func() { theirs.Close() })
+		t.Cleanup(func() { client.Close() })
 		accepted := make(chan net.Conn, 1)
 		go func() {
 			c, err := l.Accept()
@@ -33,20 +33,20 @@
 			}
 			accepted <- c
 		}()
-		ours := receive(t, "a place", accepted).(*clientConn)
-		t.Cleanup(func() { ours.Close() })
-		return theirs, ours
+		conn := receive(t, "the connection to be accepted", accepted).(*clientConn)
+		t.Cleanup(func() { conn.Close() })
+		return client, conn
 	}
 }
 
-// says sends text, and has the node read it.
-func says(t *testing.T, theirs net.Conn, ours *clientConn, text string) {
+// sendAndRead sends text from the client, and reads all of it at the node's end.
+func sendAndRead(t *testing.T, client net.Conn, conn *clientConn, text string) {
 	t.Helper()
-	if _, err := io.WriteString(theirs, text); err != nil {
+	if _, err := io.WriteString(client, text); err != nil {
 		t.Fatal(err)
 	}
 	for read := 0; read < len(text); {
-		n, err := ours.Read(make([]byte, len(text)))
+		n, err := conn.Read(make([]byte, len(text)))
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -54,92 +54,92 @@
 	}
 }
 
-// Those who cost their clients least make room first, the longest silent of each kind; a whole request never
-// does, nor one that has come and wasn't read.
-func TestWhoMakesRoom(t *testing.T) {
-	l, dial := testClients(t, 100)
+// Connections are evicted in the order of what their loss costs the client, and within a rank the longest silent first.
+// Connections with a complete request or with unread data are never evicted.
+func TestEvictionOrder(t *testing.T) {
+	l, dial := testClientListener(t, 100)
 	now := time.Now()
 	var want []*clientConn
-	add := func(text string, silent, since time.Duration) *clientConn {
-		theirs, ours := dial()
+	add := func(text string, silent, begun time.Duration) *clientConn {
+		client, conn := dial()
 		if text != "" {
-			says(t, theirs, ours, text)
+			sendAndRead(t, client, conn, text)
 		}
 		l.mu.Lock()
 		defer l.mu.Unlock()
-		ours.lastActive = now.Add(-silent)
+		conn.lastActive = now.Add(-silent)
 		if text != "" {
-			ours.requestStartedAt = now.Add(-since)
+			conn.requestStartedAt = now.Add(-begun)
 		}
-		return ours
+		return conn
 	}
 	const old, older = 10 * freshConnPeriod, 20 * freshConnPeriod
-	const new = -time.Hour // never old enough while the test runs
-	goesOn := add("GET / HT", old, older)
-	add("GET / HTTP/1.1\r\nHost: a\r\n\r\n", older, older) // whole
+	const fresh = -time.Hour // in the future, so it stays fresh while the test runs
+	progressing := add("GET / HT", old, older)
+	add("GET / HTTP/1.1\r\nHost: a\r\n\r\n", older, older) // complete
 	for _, body := range []struct {
 		length int64
 		text   string
-	}{{3, "sum"}, {-1, "3\r\nsum\r\n"}, {maxSmallBody + 1, "sum"}} { // whole, coded, large
-		theirs, ours := dial()
-		says(t, theirs, ours, "POST / HTTP/1.1\r\nHost: a\r\n\r\n")
-		ours.expectBody(body.length)
-		says(t, theirs, ours, body.text)
-	}
-	theirs, ours := dial()
-	says(t, theirs, ours, "POST / HTTP/1.1\r\nHost: a\r\n\r\n")
-	ours.expectBody(3)
-	says(t, theirs, ours, "su")
+	}{{3, "sum"}, {-1, "3\r\nsum\r\n"}, {maxSmallBody + 1, "sum"}} { // complete, chunked, large
+		client, conn := dial()
+		sendAndRead(t, client, conn, "POST / HTTP/1.1\r\nHost: a\r\n\r\n")
+		conn.expectBody(body.length)
+		sendAndRead(t, client, conn, body.text)
+	}
+	client, conn := dial()
+	sendAndRead(t, client, conn, "POST / HTTP/1.1\r\nHost: a\r\n\r\n")
+	conn.expectBody(3)
+	sendAndRead(t, client, conn, "su")
 	l.mu.Lock()
-	ours.lastActive, ours.requestStartedAt = now.Add(-older), now.Add(-2*older)
+	conn.lastActive, conn.requestStartedAt = now.Add(-older), now.Add(-2*older)
 	l.mu.Unlock()
-	halfBody := ours
-	stuckLast := add("GET / HT", old, old)
-	freshQuiet := add("", new, 0)
-	freshHalf := add("G", new, new)
-	quietFirst := add("", old, 0)
-	quietLast := add("", old, 0)
-	theirs, unread := dial()
-	if _, err := io.WriteString(theirs, "GET"); err != nil {
+	partialBody := conn
+	stalledPartial := add("GET / HT", old, old)
+	freshIdle := add("", fresh, 0)
+	freshPartial := add("G", fresh, fresh)
+	idleFirst := add("", old, 0)
+	idleSecond := add("", old, 0)
+	client, unread := dial()
+	if _, err := io.WriteString(client, "GET"); err != nil {
 		t.Fatal(err)
 	}
-	await(t, "the bytes", func() bool { return !isIdle(unread.TCPConn) })
-	want = []*clientConn{quietFirst, quietLast, stuckLast, freshQuiet, goesOn, halfBody, freshHalf}
+	await(t, "the unread data", func() bool { return !isIdle(unread.TCPConn) })
+	want = []*clientConn{idleFirst, idleSecond, stalledPartial, freshIdle, progressing, partialBody, freshPartial}
 	for i, c := range want {
 		l.mu.Lock()
 		evicted := l.evict()
-		gone := c.unregistered
+		expected := c.unregistered
 		l.mu.Unlock()
-		if !evicted || !gone {
-			t.Fatalf("eviction %d: happened %v, of the one meant %v", i, evicted, gone)
+		if !evicted || !expected {
+			t.Fatalf("eviction %d: evicted %v, the expected connection %v", i, evicted, expected)
 		}
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.evict() || l.open != 5 {
-		t.Errorf("%d open; want those with a whole request or a paced body, and the one with bytes unread", l.open)
+		t.Errorf("%d open; want only those with a complete request or a paced body, and the one with unread data", l.open)
 	}
 }
 
-// Half-written requests that fill all places keep nobody out.
-func TestHalfWrittenMakeRoom(t *testing.T) {
-	_, dial := testClients(t, 2)
+// Connections with partial requests that reach the limit don't lock out new clients.
+func TestPartialRequestsAreEvicted(t *testing.T) {
+	_, dial := testClientListener(t, 2)
 	for range 6 {
-		theirs, ours := dial()
-		says(t, theirs, ours, "POST /api HTTP/1.1\r\nHost")
+		client, conn := dial()
+		sendAndRead(t, client, conn, "POST /api HTTP/1.1\r\nHost")
 	}
 }
 
-// Clients have what servers leave free, and servers have it back when they need it: from those that the
-// node only waits for.
+// Clients may use the file descriptors that the server side leaves free. When the server side needs them, it reclaims
+// them by closing client connections that the node only waits for.
 func TestFreeDescriptorsAreLent(t *testing.T) {
-	l, dial := testClients(t, 2)
-	u := newUpstream(testConfig(t, knownList()), 4)
+	l, dial := testClientListener(t, 2)
+	u := newUpstream(testConfig(t, memberListJSON()), 4)
 	l.spareSockets, u.borrowed, u.reclaim = u.available, l.borrowed, l.reclaim
-	var ours []*clientConn
+	var conns []*clientConn
 	for range 4 {
-		_, c := dial()
-		ours = append(ours, c)
+		_, conn := dial()
+		conns = append(conns, conn)
 	}
 	if l.openCount() != 4 || l.borrowed() != 2 {
 		t.Fatalf("%d clients, %d of them on borrowed descriptors; want 4 and 2", l.openCount(), l.borrowed())
@@ -157,60 +157,60 @@
 		if !open() {
 			t.Fatalf("no descriptor for connection %d to a server", i)
 		}
-		if sum := l.openCount() + u.openConns; sum > 6 {
-			t.Errorf("%d descriptors in use, of 6", sum)
+		if total := l.openCount() + u.openConns; total > 6 {
+			t.Errorf("%d descriptors in use, want 6 at most", total)
 		}
 	}
-	if l.openCount() != 2 || !ours[0].unregistered || !ours[1].unregistered {
-		t.Errorf("%d clients left, want the last two", l.openCount())
+	if l.openCount() != 2 || !conns[0].unregistered || !conns[1].unregistered {
+		t.Errorf("%d clients open, want the last two", l.openCount())
 	}
 	if open() {
-		t.Error("more than there are")
+		t.Error("opened a connection beyond the limit")
 	}
 }
 
-// Clients that borrowed and have whole requests now are not closed for a server.
-func TestLentDescriptorsInUseStay(t *testing.T) {
-	l, dial := testClients(t, 1)
-	u := newUpstream(testConfig(t, knownList()), 2)
+// Connections on lent descriptors that have a complete request are not closed for the server side.
+func TestBorrowedDescriptorsInUseAreNotReclaimed(t *testing.T) {
+	l, dial := testClientListener(t, 1)
+	u := newUpstream(testConfig(t, memberListJSON()), 2)
 	l.spareSockets, u.borrowed, u.reclaim = u.available, l.borrowed, l.reclaim
 	for i := range 2 {
-		theirs, ours := dial()
-		says(t, theirs, ours, fmt.Sprintf("GET /%d HTTP/1.1\r\nHost: a\r\n\r\n", i))
-		ours.stateChanged(http.StateActive)
+		client, conn := dial()
+		sendAndRead(t, client, conn, fmt.Sprintf("GET /%d HTTP/1.1\r\nHost: a\r\n\r\n", i))
+		conn.stateChanged(http.StateActive)
 	}
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	if u.addOpen(1); u.makeRoom() || l.openCount() != 2 {
-		t.Errorf("%d clients left, want both", l.openCount())
+		t.Errorf("%d clients open, want both", l.openCount())
 	}
 }
 
-// What stands behind the last request is not read, but its client still gets the answer.
-func TestAnswerIsNotLostToWhatIsBehind(t *testing.T) {
-	_, dial := testClients(t, 2)
-	theirs, ours := dial()
-	if err := ours.SetWriteBuffer(1 << 20); err != nil {
+// Pipelined data after the last request is not read, but its client still gets the complete response.
+func TestResponseIsNotLostToPipelinedData(t *testing.T) {
+	_, dial := testClientListener(t, 2)
+	client, conn := dial()
+	if err := conn.SetWriteBuffer(1 << 20); err != nil {
 		t.Fatal(err)
 	}
-	says(t, theirs, ours, "GET / HTTP/1.1\r\nHost: a\r\n\r\n")
-	if _, err := io.WriteString(theirs, "GET / HTTP/1.1\r\nHost: a\r\n\r\n"); err != nil {
+	sendAndRead(t, client, conn, "GET / HTTP/1.1\r\nHost: a\r\n\r\n")
+	if _, err := io.WriteString(client, "GET / HTTP/1.1\r\nHost: a\r\n\r\n"); err != nil {
 		t.Fatal(err)
 	}
-	await(t, "the bytes behind", func() bool { return hasUnread(ours.TCPConn) })
-	answer := large(200 << 10) // more than is on its way at once: the rest waits in the system
-	if _, err := ours.Write(answer); err != nil {
+	await(t, "the pipelined data", func() bool { return hasUnread(conn.TCPConn) })
+	response := largeBody(200 << 10) // more than is in flight at once: the rest stays in the send buffer
+	if _, err := conn.Write(response); err != nil {
 		t.Fatal(err)
 	}
-	ours.markAnswered()
+	conn.markAnswered()
 	closed := make(chan error, 1)
-	go func() { closed <- ours.Close() }()
-	await(t, "the end of writing", func() bool { _, err := ours.Write([]byte("x")); return err != nil })
-	got, err := io.ReadAll(theirs)
-	if err != nil || !bytes.Equal(got[:min(len(got), len(answer))], answer) {
-		t.Errorf("%d bytes, %v; want all %d and the end", len(got), err, len(answer))
+	go func() { closed <- conn.Close() }()
+	await(t, "writes to fail", func() bool { _, err := conn.Write([]byte("x")); return err != nil })
+	got, err := io.ReadAll(client)
+	if err != nil || !bytes.Equal(got[:min(len(got), len(response))], response) {
+		t.Errorf("read %d bytes, %v; want all %d and EOF", len(got), err, len(response))
 	}
-	theirs.Close()
+	client.Close()
 	if err := receive(t, "the close", closed); err != nil {
 		t.Error(err)
 	}
--- a/internal/node/config_test.go
+++ b/internal/node/config_test.go
@@ -10,13 +10,15 @@
 	"time"
 )
 
-const goodConfig = `{"name":"n3","listen":"127.0.0.1:0","discovery":"127.0.0.1:8500","seed":"8c1f30d27a5be964",
+const validConfig = `{"name":"n3","listen":"127.0.0.1:0","discovery":"127.0.0.1:8500","seed":"8c1f30d27a5be964",
 	"limits":{"cores":1.0,"memory_mb":192,"sockets":1024},"known":KNOWN,"settings":SETTINGS}`
 
-func configFile(t *testing.T, text string) func(string) string {
+// configEnv writes a configuration file, with the member list and the settings filled in, and returns a function that
+// looks up the environment variables for it.
+func configEnv(t *testing.T, text string) func(string) string {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), "config.json")
-	text = strings.NewReplacer("KNOWN", knownList("127.0.0.1:9"), "SETTINGS", testSettings).Replace(text)
+	text = strings.NewReplacer("KNOWN", memberListJSON("127.0.0.1:9"), "SETTINGS", testSettings).Replace(text)
 	if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
 		t.Fatal(err)
 	}
@@ -26,8 +28,8 @@
 	}
 }
 
-func TestLoadsConfig(t *testing.T) {
-	c, err := LoadConfig(configFile(t, goodConfig))
+func TestLoadConfig(t *testing.T) {
+	c, err := LoadConfig(configEnv(t, validConfig))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -36,14 +38,14 @@
 		len(c.Known.Members) != 1 || c.Known.Revision != 7 || c.Settings.Zone != "a" {
 		t.Errorf("got %+v", c)
 	}
-	if most := c.discoveryConfig().MaxListSize; most != 48<<20 {
-		t.Errorf("lists of up to %d bytes are taken, want a quarter of the memory", most)
+	if size := c.discoveryConfig().MaxListSize; size != 48<<20 {
+		t.Errorf("the list size limit is %d bytes, want a quarter of the memory", size)
 	}
 }
 
-func TestBadConfigNamesTheField(t *testing.T) {
+func TestInvalidConfigNamesTheField(t *testing.T) {
 	if _, err := LoadConfig(func(string) string { return "" }); err == nil || !strings.Contains(err.Error(), "ROUTER_CONFIG") {
-		t.Errorf("no file: %v", err)
+		t.Errorf("without ROUTER_CONFIG: %v", err)
 	}
 	for _, c := range []struct{ old, new, want string }{
 		{`"seed":"8c1f30d27a5be964"`, `"seed":"xyz"`, "seed"},
@@ -63,24 +65,25 @@
 		{`SETTINGS`, strings.Replace(testSettings, `"connectTimeout":2000`, `"connectTimeout":-1`, 1), "connectTimeout"},
 		{`{`, ``, ""},
 	} {
-		_, err := LoadConfig(configFile(t, strings.Replace(goodConfig, c.old, c.new, 1)))
+		_, err := LoadConfig(configEnv(t, strings.Replace(validConfig, c.old, c.new, 1)))
 		if err == nil || !strings.Contains(err.Error(), c.want) || strings.Contains(err.Error(), "\n") {
-			t.Errorf("%s for %s: got %v, want one line that names %q", c.new, c.old, err, c.want)
+			t.Errorf("%s instead of %s: got %v, want one line that names %q", c.new, c.old, err, c.want)
 		}
 	}
 }
 
-// The text of a configuration isn't held beside what is kept of it: longer text of the same costs no memory.
-func TestConfigIsReadAsAStream(t *testing.T) {
+// The configuration is decoded as a stream, without a copy of its text: padding the text with spaces allocates hardly
+// any more memory.
+func TestConfigIsDecodedAsAStream(t *testing.T) {
 	var members, tenants []string
 	for i := range 500 {
 		members = append(members, fmt.Sprintf(`PAD{"id":"s%d","host_port":"127.0.0.1:9","phase":"up"}`, i))
 		tenants = append(tenants, fmt.Sprintf(`PAD{"name":"t%d","quotaRps":1}`, i))
 	}
 	text := strings.NewReplacer("KNOWN", `{"revision":1,"complete":true,"members":[`+strings.Join(members, ",")+`]}`, "SETTINGS",
-		`{"position":0,"groupSize":1,"services":[{"name":"x","deadline":600}],"tenants":[`+strings.Join(tenants, ",")+`]}`).Replace(goodConfig)
-	read := func(pad int) (size, took uint64) {
-		raw := []byte(strings.ReplaceAll(text, "PAD", strings.Repeat(" ", pad)))
+		`{"position":0,"groupSize":1,"services":[{"name":"x","deadline":600}],"tenants":[`+strings.Join(tenants, ",")+`]}`).Replace(validConfig)
+	read := func(padding int) (size, allocated uint64) {
+		raw := []byte(strings.ReplaceAll(text, "PAD", strings.Repeat(" ", padding)))
 		var before, after runtime.MemStats
 		runtime.ReadMemStats(&before)
 		c, err := ParseConfig(raw)
@@ -90,26 +93,26 @@
 		}
 		return uint64(len(raw)), after.TotalAlloc - before.TotalAlloc
 	}
-	short, costs := read(0)
-	if long, more := read(2000); more > costs+(long-short)/4 {
-		t.Errorf("%d bytes of text took %d, and %d bytes of the same %d", short, costs, long, more)
+	shortSize, shortAlloc := read(0)
+	if paddedSize, paddedAlloc := read(2000); paddedAlloc > shortAlloc+(paddedSize-shortSize)/4 {
+		t.Errorf("decoding %d bytes allocated %d, and the same content padded to %d bytes allocated %d", shortSize, shortAlloc, paddedSize, paddedAlloc)
 	}
 }
 
-// What was cut off anywhere, or goes on after its end, is no configuration.
-func TestConfigIsReadWholeOrNotAtAll(t *testing.T) {
-	good := strings.NewReplacer("KNOWN", knownList("127.0.0.1:9"), "SETTINGS", testSettings).Replace(goodConfig)
-	if _, err := ParseConfig([]byte(good + "\n")); err != nil {
+// A configuration that is truncated anywhere, or followed by further data, is rejected.
+func TestTruncatedOrTrailingConfigIsRejected(t *testing.T) {
+	valid := strings.NewReplacer("KNOWN", memberListJSON("127.0.0.1:9"), "SETTINGS", testSettings).Replace(validConfig)
+	if _, err := ParseConfig([]byte(valid + "\n")); err != nil {
 		t.Fatal(err)
 	}
-	for i := range good {
-		if _, err := ParseConfig([]byte(good[:i])); err == nil || strings.Contains(err.Error(), "\n") {
-			t.Errorf("cut off after %q: %v", good[:i], err)
+	for i := range valid {
+		if _, err := ParseConfig([]byte(valid[:i])); err == nil || strings.Contains(err.Error(), "\n") {
+			t.Errorf("truncated after %q: %v", valid[:i], err)
 		}
 	}
-	for _, more := range []string{"x", "{}", "}", "null"} {
-		if _, err := ParseConfig([]byte(good + more)); err == nil {
-			t.Errorf("%q after the end is taken", more)
+	for _, trailing := range []string{"x", "{}", "}", "null"} {
+		if _, err := ParseConfig([]byte(valid + trailing)); err == nil {
+			t.Errorf("%q after the end was accepted", trailing)
 		}
 	}
 }
--- a/internal/node/crossings_test.go
+++ b/internal/node/crossings_test.go
@@ -17,14 +17,14 @@
 	"cobaltward/policy"
 )
 
-// gatedRaw holds up a reader that is about to look for what has come.
-type gatedRaw struct {
+// gatedRawConn pauses the first Read just before it polls the socket.
+type gatedRawConn struct {
 	syscall.RawConn
 	entered, proceed chan struct{}
 	once             sync.Once
 }
 
-func (g *gatedRaw) Read(f func(uintptr) bool) error {
+func (g *gatedRawConn) Read(f func(uintptr) bool) error {
 	return g.RawConn.Read(func(fd uintptr) bool {
 		g.once.Do(func() { close(g.entered) })
 		<-g.proceed
@@ -32,28 +32,27 @@
 	})
 }
 
-// A resting connection is closed in the very moment in which its reader looks for what has come. The reader waits
-// for the mutex of all connections, and the close for the reader; neither may wait for ever, and what comes then
-// is not read.
-func TestCloseMeetsTheReader(t *testing.T) {
+// An idle connection is closed at the moment when its reader polls the socket. The reader waits for the listener's mutex,
+// and the close for the reader: this must not deadlock, and the reader must get no data.
+func TestCloseDuringRead(t *testing.T) {
 	for name, closes := range map[string]func(*clientListener){
-		"for room":           func(l *clientListener) { l.evict() },
-		"as it is sent away": func(l *clientListener) { l.mu.Unlock(); l.closeIdle(time.Now().Add(time.Hour)); l.mu.Lock() },
-		"for a server":       func(l *clientListener) { l.baseLimit = 0; l.mu.Unlock(); l.reclaim(); l.mu.Lock() },
-		"as two share":       func(l *clientListener) { l.mu.Unlock(); l.setBaseLimit(0); l.mu.Lock() },
+		"evict":        func(l *clientListener) { l.evict() },
+		"closeIdle":    func(l *clientListener) { l.mu.Unlock(); l.closeIdle(time.Now().Add(time.Hour)); l.mu.Lock() },
+		"reclaim":      func(l *clientListener) { l.baseLimit = 0; l.mu.Unlock(); l.reclaim(); l.mu.Lock() },
+		"setBaseLimit": func(l *clientListener) { l.mu.Unlock(); l.setBaseLimit(0); l.mu.Lock() },
 	} {
 		t.Run(name, func(t *testing.T) {
-			l, dial := testClients(t, 10)
-			theirs, ours := dial()
-			raw := &gatedRaw{RawConn: ours.raw, entered: make(chan struct{}), proceed: make(chan struct{})}
-			ours.raw = raw
+			l, dial := testClientListener(t, 10)
+			client, conn := dial()
+			raw := &gatedRawConn{RawConn: conn.raw, entered: make(chan struct{}), proceed: make(chan struct{})}
+			conn.raw = raw
 			type outcome struct {
 				n   int
 				err error
 			}
 			read, closed := make(chan outcome, 1), make(chan struct{})
 			go func() {
-				n, err := ours.Read(make([]byte, 100))
+				n, err := conn.Read(make([]byte, 100))
 				read <- outcome{n, err}
 			}()
 			<-raw.entered
@@ -68,113 +67,113 @@
 			if o := receive(t, "the reader", read); o.n != 0 || o.err == nil {
 				t.Errorf("the reader got %d bytes, %v", o.n, o.err)
 			}
-			if n, err := theirs.Read(make([]byte, 1)); n != 0 || err != io.EOF {
-				t.Errorf("the client got %d bytes, %v; want the end", n, err)
+			if n, err := client.Read(make([]byte, 1)); n != 0 || err != io.EOF {
+				t.Errorf("the client got %d bytes, %v; want EOF", n, err)
 			}
 			if l.openCount() != 0 {
-				t.Errorf("%d connections are left", l.openCount())
+				t.Errorf("%d connections are still open", l.openCount())
 			}
 		})
 	}
 }
 
-// What comes once the node has made up its mind to close a connection is not read, though the close takes a while.
-func TestNothingIsReadOnceGivenUp(t *testing.T) {
-	l, dial := testClients(t, 10)
-	theirs, ours := dial()
+// Data that arrives after tryClose has succeeded is not read, even before the connection is actually closed.
+func TestNothingIsReadAfterTryClose(t *testing.T) {
+	l, dial := testClientListener(t, 10)
+	client, conn := dial()
 	l.mu.Lock()
-	if !ours.tryClose() {
-		t.Fatal("a resting connection is not given up")
+	if !conn.tryClose() {
+		t.Fatal("tryClose failed for an idle connection")
 	}
 	l.mu.Unlock()
-	if _, err := io.WriteString(theirs, "GET / HTTP/1.1\r\nHost: a\r\n\r\n"); err != nil {
+	if _, err := io.WriteString(client, "GET / HTTP/1.1\r\nHost: a\r\n\r\n"); err != nil {
 		t.Fatal(err)
 	}
-	await(t, "the request", func() bool { return hasUnread(ours.TCPConn) })
-	if n, err := ours.Read(make([]byte, 100)); n != 0 || err == nil {
-		t.Errorf("%d bytes, %v", n, err)
+	await(t, "the request", func() bool { return hasUnread(conn.TCPConn) })
+	if n, err := conn.Read(make([]byte, 100)); n != 0 || err == nil {
+		t.Errorf("read %d bytes, %v; want an error", n, err)
 	}
 }
 
-// Bytes that arrive right after an answer that ends its connection don't reset it: the client reads the answer
-// and the end, and may go on sending until it has seen that.
-func TestAnswerOutlivesWhatArrivesAtTheClose(t *testing.T) {
-	l, dial := testClients(t, 10)
-	l.lingerTime = long
-	theirs, ours := dial()
-	says(t, theirs, ours, "GET / HTTP/1.1\r\nHost: a\r\n\r\n")
-	if _, err := io.WriteString(ours, "answer"); err != nil {
+// Data that arrives right after a response that closes its connection must not cause a reset: the client reads the
+// response and EOF, and may keep sending until then.
+func TestResponseSurvivesDataArrivingAtClose(t *testing.T) {
+	l, dial := testClientListener(t, 10)
+	l.lingerTime = testTimeout
+	client, conn := dial()
+	sendAndRead(t, client, conn, "GET / HTTP/1.1\r\nHost: a\r\n\r\n")
+	if _, err := io.WriteString(conn, "answer"); err != nil {
 		t.Fatal(err)
 	}
-	ours.markAnswered()
+	conn.markAnswered()
 	closed := make(chan error, 1)
-	go func() { closed <- ours.Close() }()
-	if got, err := io.ReadAll(theirs); string(got) != "answer" || err != nil {
+	go func() { closed <- conn.Close() }()
+	if got, err := io.ReadAll(client); string(got) != "answer" || err != nil {
 		t.Fatalf("the client got %q, %v", got, err)
 	}
-	for range 2 { // the first would call forth a reset, which the second would meet
-		if _, err := io.WriteString(theirs, "GET / HTTP/1.1\r\nHost: a\r\n\r\n"); err != nil {
+	for range 2 { // the first write would trigger a reset, and the second one would fail because of it
+		if _, err := io.WriteString(client, "GET / HTTP/1.1\r\nHost: a\r\n\r\n"); err != nil {
 			t.Fatalf("the connection was reset: %v", err)
 		}
 	}
-	theirs.Close()
+	client.Close()
 	receive(t, "the close", closed)
 }
 
-// What arrives once the node has failed what was open, just before its end, is refused and not sent on.
-func TestNothingBeginsAfterTheFinish(t *testing.T) {
+// Requests that arrive after the node has ended the open ones, just before it exits, are refused and not forwarded.
+func TestRequestsAfterFinishAreRefused(t *testing.T) {
 	got := make(chan string, 10)
-	addr := httpServer(t, func(_ http.ResponseWriter, r *http.Request) { got <- r.Header.Get("X-Request-Id") })
-	l, module := startLoop(t, addr, sendEach)
+	addr := startHTTPServer(t, func(_ http.ResponseWriter, r *http.Request) { got <- r.Header.Get("X-Request-Id") })
+	l, module := startLoop(t, addr, sendOnce)
 	l.send(finish{})
-	if a := receive(t, "an answer", l.arriveNow("r1", long).reply); a.status != http.StatusServiceUnavailable {
+	if a := receive(t, "a response", l.sendArrival("r1", testTimeout).reply); a.status != http.StatusServiceUnavailable {
 		t.Errorf("%+v, want a refusal", a)
 	}
-	if module.has(t, "list 2"); len(got) > 0 {
-		t.Error("it was sent on")
+	if module.expectEvents(t, "list 2"); len(got) > 0 {
+		t.Error("the request was forwarded")
 	}
 }
 
-// silentListener has nobody to accept.
-type silentListener struct{ closed chan struct{} }
+// blockingListener is a listener whose Accept blocks until it is closed.
+type blockingListener struct{ closed chan struct{} }
 
-func (l silentListener) Accept() (net.Conn, error) { <-l.closed; return nil, net.ErrClosed }
-func (l silentListener) Close() error              { close(l.closed); return nil }
-func (l silentListener) Addr() net.Addr            { return &net.TCPAddr{} }
+func (l blockingListener) Accept() (net.Conn, error) { <-l.closed; return nil, net.ErrClosed }
+func (l blockingListener) Close() error              { close(l.closed); return nil }
+func (l blockingListener) Addr() net.Addr            { return &net.TCPAddr{} }
 
-// The last connection may have been accepted as the listener closes, and not be counted yet. The node doesn't end
-// before whoever accepts has said that there are no more.
-func TestEndWaitsForTheLastToBeAccepted(t *testing.T) {
+// A connection may be accepted just as the listener closes, and not be counted yet. So the drain must not end before the
+// accept loop has returned.
+func TestDrainWaitsForTheAcceptLoop(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		c := testConfig(t, knownList())
+		c := testConfig(t, memberListJSON())
 		l, err := newLoop(c, clock{start: time.Now()}, newUpstream(c, 10))
 		if err != nil {
 			t.Fatal(err)
 		}
 		s := newServer(c, l)
 		defer s.lifecycle.stopDraining()
-		accepts, ended := make(chan error), make(chan struct{})
+		acceptResult, ended := make(chan error), make(chan struct{})
 		go func() {
-			s.drain(c, newClients(silentListener{make(chan struct{})}, 10), accepts, false)
+			s.drain(c, newClients(blockingListener{make(chan struct{})}, 10), acceptResult, false)
 			close(ended)
 		}()
 		time.Sleep(time.Hour)
 		select {
 		case <-ended:
-			t.Fatal("the node ended while a connection might still have been accepted")
+			t.Fatal("the drain ended while a connection might still have been accepted")
 		default:
 		}
-		accepts <- http.ErrServerClosed
+		acceptResult <- http.ErrServerClosed
 		<-ended
 	})
 }
 
-// A node with short deadlines still takes in who comes for as long as the front may send clients, and has time
-// to answer them before it may be killed.
-func TestShortDeadlinesLeaveTimeToLeave(t *testing.T) {
+// A node with short deadlines still accepts clients for as long as the front may send any, and has time to answer them
+// before it may be killed.
+func TestDrainTimingWithShortDeadlines(t *testing.T) {
 	for _, deadline := range []time.Duration{100 * time.Millisecond, 600 * time.Millisecond, 3 * time.Second, 6 * time.Second} {
 		synctest.Test(t, func(t *testing.T) {
-			c := testConfig(t, knownList())
+			c := testConfig(t, memberListJSON())
 			for i := range c.Settings.Classes {
 				c.Settings.Classes[i].Deadline = deadline
 			}
@@ -183,40 +182,40 @@
 				t.Fatal(err)
 			}
 			ctx, cancel := context.WithCancel(context.Background())
-			loopEnd := make(chan struct{})
-			go func() { l.run(ctx, c.Known); close(loopEnd) }()
-			defer func() { cancel(); <-loopEnd }()
+			loopStopped := make(chan struct{})
+			go func() { l.run(ctx, c.Known); close(loopStopped) }()
+			defer func() { cancel(); <-loopStopped }()
 			s := newServer(c, l)
 			defer s.lifecycle.stopDraining()
-			silent := silentListener{make(chan struct{})}
-			clients := newClients(silent, 10)
-			clients.open = 1 // one that never ends
-			accepts, began, ended := make(chan error, 1), time.Now(), make(chan struct{})
-			accepts <- http.ErrServerClosed
-			go func() { s.drain(c, clients, accepts, false); close(ended) }()
-			<-silent.closed
-			if d := time.Since(began); d < 400*time.Millisecond {
-				t.Errorf("deadlines of %v: nobody is taken in after %v", deadline, d)
+			listener := blockingListener{make(chan struct{})}
+			clients := newClients(listener, 10)
+			clients.open = 1 // one that never closes
+			acceptResult, start, ended := make(chan error, 1), time.Now(), make(chan struct{})
+			acceptResult <- http.ErrServerClosed
+			go func() { s.drain(c, clients, acceptResult, false); close(ended) }()
+			<-listener.closed
+			if d := time.Since(start); d < 400*time.Millisecond {
+				t.Errorf("deadlines of %v: the listener was closed after %v, want 400ms at least", deadline, d)
 			}
 			<-ended
-			if d, killed := time.Since(began), min(deadline, 3*time.Second)+700*time.Millisecond; d > killed-200*time.Millisecond {
-				t.Errorf("deadlines of %v: it ends after %v, and may be killed at %v", deadline, d, killed)
+			if d, killed := time.Since(start), min(deadline, 3*time.Second)+700*time.Millisecond; d > killed-200*time.Millisecond {
+				t.Errorf("deadlines of %v: the drain ended after %v, but the node may be killed at %v", deadline, d, killed)
 			}
 		})
 	}
 }
 
-// A keyed request may only be sent again for a while. A connection that comes up after that carries nothing, and the
-// module is told that the attempt was not made.
-func TestConnectionThatComesUpAfterTheWindow(t *testing.T) {
-	for _, comes := range []bool{false, true} {
+// A request with an idempotency key may be sent again only within a window. A connection that is established after the
+// window carries nothing, and the decision module is told that the attempt was not sent.
+func TestConnectionEstablishedAfterRetryWindow(t *testing.T) {
+	for _, established := range []bool{false, true} {
 		got := make(chan string, 10)
-		addr := httpServer(t, func(_ http.ResponseWriter, r *http.Request) { got <- r.Header.Get("X-Request-Id") })
+		addr := startHTTPServer(t, func(_ http.ResponseWriter, r *http.Request) { got <- r.Header.Get("X-Request-Id") })
 		var l *loop
-		set := make(chan struct{})
+		dialReplaced := make(chan struct{})
 		l, module := startLoop(t, addr, func(now policy.Time, ev policy.Event) []policy.Action {
 			if e, ok := ev.(policy.Request); ok {
-				<-set
+				<-dialReplaced
 				return []policy.Action{{Kind: policy.Send, ID: e.ID, Server: "s0", By: now + time.Millisecond}}
 			}
 			return nil
@@ -225,27 +224,27 @@
 		l.upstream.dial = func(ctx context.Context, network, addr string) (net.Conn, error) {
 			c, err := dial(context.WithoutCancel(ctx), network, addr)
 			<-ctx.Done()
-			if !comes {
+			if !established {
 				c.Close()
 				return nil, context.Cause(ctx)
 			}
 			return c, err
 		}
-		close(set)
-		l.arriveNow("r1", long)
-		module.has(t, "list 2", "request r1", fmt.Sprintf("outcome r1 0 code %d ended false", policy.NotSent))
+		close(dialReplaced)
+		l.sendArrival("r1", testTimeout)
+		module.expectEvents(t, "list 2", "request r1", fmt.Sprintf("outcome r1 0 code %d ended false", policy.NotSent))
 		if len(got) > 0 {
-			t.Errorf("it was sent on (the connection comes up %v)", comes)
+			t.Errorf("the request was sent (connection established %v)", established)
 		}
-		if open, idle := l.upstream.counts("s0"); open != idle {
+		if open, idle := l.upstream.connCounts("s0"); open != idle {
 			t.Errorf("%d connections open, %d idle", open, idle)
 		}
 	}
 }
 
-// Operators take a node out of service, or back in, just as a new process of it is started, before the old one has
-// written the rest of its word anew. The new one goes by what they were told is done.
-func TestStandbyMeetsATakeover(t *testing.T) {
+// Operators begin or end standby just as a new process of the node starts, before the old one has written its next
+// snapshot. The new process must follow the change that was confirmed to them, not the outdated snapshot.
+func TestStandbyDuringTakeover(t *testing.T) {
 	dir := t.TempDir()
 	h, err := join(dir)
 	if err != nil {
@@ -256,7 +255,7 @@
 	defer life.stopDraining()
 	life.markServersKnown()
 	for _, on := range []bool{true, false, true} {
-		if err := h.writeSnapshot(snapshot{Saved: time.Now(), Standby: !on}); err != nil { // as it was before
+		if err := h.writeSnapshot(snapshot{Saved: time.Now(), Standby: !on}); err != nil { // outdated
 			t.Fatal(err)
 		}
 		if on {
@@ -264,21 +263,21 @@
 		} else if err := life.activate(); err != nil {
 			t.Fatal(err)
 		}
-		c := testConfig(t, knownList())
+		c := testConfig(t, memberListJSON())
 		c.Handover = dir
-		next, old := takeOver(&c)
-		if next == nil || old.Standby != on {
-			t.Errorf("the new process takes the old one to be in standby: %v, want %v", old.Standby, on)
+		next, saved := takeOver(&c)
+		if next == nil || saved.Standby != on {
+			t.Errorf("the new process read standby %v from the old one, want %v", saved.Standby, on)
 		}
 		next.leave()
 	}
 }
 
-// SIGTERM meets requests at each stage: half written by its client, out at a server, half answered by it. Each is
-// answered whole, and its connection ends with that.
-func TestStopMeetsRequestsAtEachStage(t *testing.T) {
+// SIGTERM arrives while one request is partially sent by its client, one waits for its server, and one has a partial
+// response. Each gets its complete response, and then its connection is closed.
+func TestShutdownAnswersRequestsAtEachStage(t *testing.T) {
 	got, proceed := make(chan string, 10), make(chan struct{})
-	addr := rawServer(t, func(c net.Conn, in *bufio.Reader) {
+	addr := startTCPServer(t, func(c net.Conn, in *bufio.Reader) {
 		req, err := http.ReadRequest(in)
 		if err != nil {
 			return
@@ -293,7 +292,7 @@
 		<-proceed
 		_, _ = io.WriteString(c, rest)
 	})
-	node, stop := startNode(t, testConfig(t, knownList(addr)))
+	node, stop := startNode(t, testConfig(t, memberListJSON(addr)))
 	send := func(id string) (c net.Conn, rest string) {
 		c, err := net.Dial("tcp", node)
 		if err != nil {
@@ -313,16 +312,16 @@
 	conns := map[string]net.Conn{}
 	rest := ""
 	for _, id := range []string{"out", "half answered", "half written"} {
-		c, more := send(id)
-		if conns[id] = c; more != "" {
-			rest = more
+		c, unsent := send(id)
+		if conns[id] = c; unsent != "" {
+			rest = unsent
 			continue
 		}
 		receive(t, "the request", got)
 	}
 	ended := make(chan error, 1)
 	go func() { ended <- stop() }()
-	await(t, "the node to say that it isn't ready", func() bool {
+	await(t, "the node to report that it isn't ready", func() bool {
 		resp, err := http.Get("http://" + node + readyPath)
 		if err != nil {
 			return true
@@ -346,10 +345,10 @@
 			t.Errorf("%s: %d %q, %v", id, resp.StatusCode, body, err)
 		}
 		if _, err := in.ReadByte(); err != io.EOF {
-			t.Errorf("%s: behind the answer %v, want the end", id, err)
+			t.Errorf("%s: after the response %v, want EOF", id, err)
 		}
 	}
-	if err := receive(t, "the node's end", ended); err != nil {
+	if err := receive(t, "the node to stop", ended); err != nil {
 		t.Error(err)
 	}
 }
--- a/internal/node/departures_test.go
+++ b/internal/node/departures_test.go
@@ -18,81 +18,81 @@
 	"cobaltward/policy"
 )
 
-// serveClients runs a server for the loop's node, with nothing else around it.
-func serveClients(t *testing.T, l *loop) (addr string, all *clientListener) {
+// serveClients starts the HTTP server for a loop, without the rest of a node.
+func serveClients(t *testing.T, l *loop) (addr string, listener *clientListener) {
 	t.Helper()
-	return serveClientsOf(t, newServer(testConfig(t, knownList("127.0.0.1:9")), l))
+	return serveClientsWith(t, newServer(testConfig(t, memberListJSON("127.0.0.1:9")), l))
 }
 
-// serveClientsOf is serveClients for a server of the test's own.
-func serveClientsOf(t *testing.T, s *server) (addr string, all *clientListener) {
+// serveClientsWith is serveClients for a given server.
+func serveClientsWith(t *testing.T, s *server) (addr string, listener *clientListener) {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	served := make(chan error, 1)
-	all = newClients(ln, 100)
-	go func() { served <- s.http.Serve(all) }()
+	listener = newClients(ln, 100)
+	go func() { served <- s.http.Serve(listener) }()
 	t.Cleanup(func() {
-		all.stopLingering()
+		listener.stopLingering()
 		s.http.Close()
-		receive(t, "the end of serving", served)
+		receive(t, "the HTTP server to stop", served)
 	})
-	return ln.Addr().String(), all
+	return ln.Addr().String(), listener
 }
 
-// runLoop runs a loop that knows the servers at the addresses.
+// runLoop runs a loop whose initial list has the servers at the addresses.
 func runLoop(t *testing.T, l *loop, addrs ...string) {
 	t.Helper()
 	ctx, cancel := context.WithCancel(context.Background())
-	ended := make(chan struct{})
-	go func() { l.run(ctx, discovery.List{Members: members(t, addrs...)}); close(ended) }()
+	stopped := make(chan struct{})
+	go func() { l.run(ctx, discovery.List{Members: testMembers(t, addrs...)}); close(stopped) }()
 	t.Cleanup(func() {
 		cancel()
-		receive(t, "the loop's end", ended)
+		receive(t, "the loop to stop", stopped)
 		l.upstream.close()
 	})
 }
 
-// A client that leaves while an attempt is out is noticed at once, whatever it has sent behind its request: the
-// attempt is called off, and nothing else is sent, neither for that request nor for one behind it.
-func TestWhoLeavesIsNoticedWhateverIsBehind(t *testing.T) {
-	next := "GET /api HTTP/1.1\r\nHost: a\r\nX-Request-Id: r%d\r\nX-Class: read\r\nX-Deadline-Ms: 8000\r\n\r\n"
-	behind := map[string]string{"nothing": "", "a byte": "G", "half a request": next[:40], "a request": fmt.Sprintf(next, 2),
-		"an empty line": "\r\n", "no request": strings.Repeat("x", 3000)}
+// A client that disconnects during an attempt is detected at once, whatever data it has sent after its request: the
+// attempt is cancelled, and no further attempt is made for that request or for a pipelined one.
+func TestDisconnectIsDetectedBehindPipelinedData(t *testing.T) {
+	requestFormat := "GET /api HTTP/1.1\r\nHost: a\r\nX-Request-Id: r%d\r\nX-Class: read\r\nX-Deadline-Ms: 8000\r\n\r\n"
+	pipelined := map[string]string{"nothing": "", "one byte": "G", "a partial request": requestFormat[:40], "a request": fmt.Sprintf(requestFormat, 2),
+		"an empty line": "\r\n", "malformed data": strings.Repeat("x", 3000)}
 	for i := range 100 {
-		behind["a hundred requests"] += fmt.Sprintf(next, 2+i)
+		pipelined["a hundred requests"] += fmt.Sprintf(requestFormat, 2+i)
 	}
-	for what, text := range behind {
-		for _, how := range []string{"closes", "resets", "ends its sending"} {
-			t.Run(what+", "+how, func(t *testing.T) {
-				got, ended := make(chan struct{}, 100), make(chan struct{}, 100)
-				addr := rawServer(t, func(c net.Conn, in *bufio.Reader) {
-					if !swallow(in) {
+	for what, data := range pipelined {
+		for _, disconnect := range []string{"closes", "resets", "ends its sending"} {
+			t.Run(what+", "+disconnect, func(t *testing.T) {
+				attempted, cancelled := make(chan struct{}, 100), make(chan struct{}, 100)
+				addr := startTCPServer(t, func(c net.Conn, in *bufio.Reader) {
+					if !discardRequest(in) {
 						return
 					}
-					got <- struct{}{}
-					_, _ = in.ReadByte() // until the node hangs up
-					ended <- struct{}{}
+					attempted <- struct{}{}
+					_, _ = in.ReadByte() // until the node closes the connection
+					cancelled <- struct{}{}
 				})
-				l, err := newLoop(testConfig(t, knownList(addr)), clock{start: time.Now()}, testUpstream(t, addr))
+				l, err := newLoop(testConfig(t, memberListJSON(addr)), clock{start: time.Now()}, testUpstream(t, addr))
 				if err != nil {
 					t.Fatal(err)
 				}
 				runLoop(t, l, addr)
-				node, all := serveClients(t, l)
+				node, listener := serveClients(t, l)
 				dialled, err := net.Dial("tcp", node)
 				if err != nil {
 					t.Fatal(err)
 				}
 				c := dialled.(*net.TCPConn)
 				defer c.Close()
-				if _, err := io.WriteString(c, fmt.Sprintf(next, 1)+text); err != nil {
+				if _, err := io.WriteString(c, fmt.Sprintf(requestFormat, 1)+data); err != nil {
 					t.Fatal(err)
 				}
-				receive(t, "the attempt", got)
-				switch how {
+				receive(t, "the attempt", attempted)
+				switch disconnect {
 				case "closes":
 					c.Close()
 				case "resets":
@@ -101,24 +101,24 @@
 				default:
 					_ = c.CloseWrite()
 				}
-				receive(t, "the end of the attempt", ended)
-				await(t, "the end of the connection", func() bool { return all.openCount() == 0 })
-				if len(got) > 0 {
-					t.Errorf("%d more attempts", len(got))
+				receive(t, "the attempt to be cancelled", cancelled)
+				await(t, "the connection to be closed", func() bool { return listener.openCount() == 0 })
+				if len(attempted) > 0 {
+					t.Errorf("%d more attempts", len(attempted))
 				}
 			})
 		}
 	}
 }
 
-// A request whose client has left by the time that it has come whole never reaches the module.
-func TestWhoLeftBeforeItsBodyHadRoomIsNotServed(t *testing.T) {
+// A request whose client disconnects while its body waits for memory never reaches the decision module.
+func TestDisconnectWhileBodyWaitsForMemory(t *testing.T) {
 	l, module := startLoop(t, "127.0.0.1:9", func(policy.Time, policy.Event) []policy.Action { return nil })
-	node, all := serveClients(t, l)
-	room := l.upstream.memory
-	most := max(minBudget, int64(budgetFraction*float64(64<<20)))
-	if !room.requests.TryAcquire(most) {
-		t.Fatal("the room is not empty")
+	node, listener := serveClients(t, l)
+	budget := l.upstream.memory
+	budgetSize := max(minBudget, int64(budgetFraction*float64(64<<20)))
+	if !budget.requests.TryAcquire(budgetSize) {
+		t.Fatal("the memory budget is in use")
 	}
 	c, err := net.Dial("tcp", node)
 	if err != nil {
@@ -127,51 +127,53 @@
 	if err := newRequest(t, node, "POST", "pay", "r1", "sum").Write(c); err != nil {
 		t.Fatal(err)
 	}
-	ours := func() (c *clientConn) { // it has a whole head, and waits for its body
-		all.mu.Lock()
-		defer all.mu.Unlock()
-		if e := all.waiting.Front(); e != nil {
+	waitingConn := func() (c *clientConn) { // it waits for the rest of its request; nil if there is none
+		listener.mu.Lock()
+		defer listener.mu.Unlock()
+		if e := listener.waiting.Front(); e != nil {
 			c = e.Value.(*clientConn)
 		}
 		return c
 	}
-	await(t, "the head", func() bool { c := ours(); return c != nil && c.watchedBody() })
-	conn := ours()
+	await(t, "the request's head", func() bool { c := waitingConn(); return c != nil && c.awaitsBody() })
+	conn := waitingConn()
 	c.Close()
-	await(t, "the client's end", conn.ending)
-	room.requests.Release(most)
-	await(t, "the end of the connection", func() bool { return all.openCount() == 0 })
-	module.has(t, "list 2")
-	if !room.empty(t) {
-		t.Error("it left something in the room for bodies")
+	await(t, "the client's disconnection", conn.inCloseWait)
+	budget.requests.Release(budgetSize)
+	await(t, "the connection to be closed", func() bool { return listener.openCount() == 0 })
+	module.expectEvents(t, "list 2")
+	if !budget.isUnused(t) {
+		t.Error("part of the memory budget was not released")
 	}
 }
 
-func (c *clientConn) watchedBody() bool {
+// awaitsBody reports whether the head was read and part of the body is still to come.
+func (c *clientConn) awaitsBody() bool {
 	c.owner.mu.Lock()
 	defer c.owner.mu.Unlock()
 	return c.scanner.bodyLeft > 0
 }
 
-// ending tells whether the client's end has come, behind whatever is unread.
-func (c *clientConn) ending() (yes bool) {
-	const closeWait = 8 // of the kernel's states
+// inCloseWait reports whether the client's FIN has arrived, even if data sent before it is still unread.
+func (c *clientConn) inCloseWait() (closed bool) {
+	const closeWait = 8 // TCP_CLOSE_WAIT of the kernel
 	failed := c.raw.Control(func(fd uintptr) {
-		info, err := syscall.GetsockoptInt(int(fd), syscall.IPPROTO_TCP, syscall.TCP_INFO) // it begins with the state
-		yes = err == nil && info&0xff == closeWait
+		info, err := syscall.GetsockoptInt(int(fd), syscall.IPPROTO_TCP, syscall.TCP_INFO) // tcp_info begins with the state
+		closed = err == nil && info&0xff == closeWait
 	})
-	return yes || failed != nil
+	return closed || failed != nil
 }
 
-// An attempt that is still dialling as its client leaves is called off, also where the site lets nobody call
-// attempts off; a connection that comes up all the same carries nothing, and serves another request.
-func TestDiallingEndsWithItsClient(t *testing.T) {
-	for _, late := range []bool{false, true} {
-		t.Run(fmt.Sprintf("the connection comes up %v", late), func(t *testing.T) {
+// An attempt that is still dialling when its client disconnects is cancelled, even at a site that doesn't allow attempts
+// to be cancelled. A connection that is established nevertheless carries nothing for that request, and is used for
+// another one.
+func TestDisconnectCancelsDialling(t *testing.T) {
+	for _, established := range []bool{false, true} {
+		t.Run(fmt.Sprintf("connection established %v", established), func(t *testing.T) {
 			got := make(chan string, 10)
-			addr := httpServer(t, func(_ http.ResponseWriter, r *http.Request) { got <- r.Header.Get("X-Request-Id") })
+			addr := startHTTPServer(t, func(_ http.ResponseWriter, r *http.Request) { got <- r.Header.Get("X-Request-Id") })
 			dialling, dials := make(chan struct{}), atomic.Int32{}
-			l, module := startLoop(t, addr, sendEach)
+			l, module := startLoop(t, addr, sendOnce)
 			dial := l.upstream.dial
 			l.upstream.dial = func(ctx context.Context, network, addr string) (net.Conn, error) {
 				if dials.Add(1) > 1 {
@@ -180,48 +182,49 @@
 				c, err := dial(ctx, network, addr)
 				close(dialling)
 				<-ctx.Done()
-				if late {
+				if established {
 					return c, err
 				}
 				c.Close()
 				return nil, context.Cause(ctx)
 			}
-			x := l.arriveNow("r1", long)
+			x := l.sendArrival("r1", testTimeout)
 			receive(t, "the dial", dialling)
 			l.send(departure{request: x})
-			module.has(t, "list 2", "request r1", "lapsed r1",
+			module.expectEvents(t, "list 2", "request r1", "lapsed r1",
 				fmt.Sprintf("outcome r1 0 code %d ended true", policy.Cancelled))
-			y := l.arriveNow("r2", long)
-			if a := receive(t, "an answer", y.reply); a.status != http.StatusOK {
+			y := l.sendArrival("r2", testTimeout)
+			if a := receive(t, "a response", y.reply); a.status != http.StatusOK {
 				t.Errorf("the next request: %+v", a)
 			}
 			if id := receive(t, "a request", got); id != "r2" || len(got) > 0 {
 				t.Errorf("the server got %s and %d more, want r2 alone", id, len(got))
 			}
-			await(t, "the end of all", func() bool { open, idle := l.upstream.counts("s0"); return open == idle })
+			await(t, "all attempts to end", func() bool { open, idle := l.upstream.connCounts("s0"); return open == idle })
 		})
 	}
 }
 
-// A burst of clients that send and go leaves nothing behind: descriptors, room and the module's counts come back.
-func TestBurstOfLeaversLeavesNothing(t *testing.T) {
+// After a burst of clients that send a request and disconnect, everything is released: file descriptors, body memory
+// and the decision module's counts of open attempts.
+func TestBurstOfDisconnectsReleasesEverything(t *testing.T) {
 	held := make(chan struct{}, 1000)
-	addr := rawServer(t, func(c net.Conn, in *bufio.Reader) {
-		if swallow(in) {
+	addr := startTCPServer(t, func(c net.Conn, in *bufio.Reader) {
+		if discardRequest(in) {
 			held <- struct{}{}
 			_, _ = in.ReadByte()
 		}
 	})
-	c := testConfig(t, knownList(addr))
+	c := testConfig(t, memberListJSON(addr))
 	c.MaxOpen = 0
 	l, err := newLoop(c, clock{start: time.Now()}, newUpstream(c, 100))
 	if err != nil {
 		t.Fatal(err)
 	}
-	module := &guarded{Balancer: l.module.(*policy.Balancer)}
+	module := &lockedBalancer{Balancer: l.module.(*policy.Balancer)}
 	l.module = module
 	runLoop(t, l, addr)
-	node, all := serveClients(t, l)
+	node, listener := serveClients(t, l)
 	for round := range 3 {
 		var conns []net.Conn
 		for i := range 60 {
@@ -243,29 +246,29 @@
 		for _, conn := range conns {
 			conn.Close()
 		}
-		await(t, "the end of all", func() bool {
-			open, _ := l.upstream.counts("s0")
-			return all.openCount() == 0 && open == 0 && strings.Contains(module.String(), " s0=0/")
+		await(t, "everything to be released", func() bool {
+			open, _ := l.upstream.connCounts("s0")
+			return listener.openCount() == 0 && open == 0 && strings.Contains(module.String(), " s0=0/")
 		})
-		if !l.upstream.memory.empty(t) {
-			t.Error("something is left in the room for bodies")
+		if !l.upstream.memory.isUnused(t) {
+			t.Error("part of the memory budget was not released")
 		}
 	}
 }
 
-// guarded is a module that a test may look into.
-type guarded struct {
+// lockedBalancer is a decision module that a test may inspect while the loop runs.
+type lockedBalancer struct {
 	mu sync.Mutex
 	*policy.Balancer
 }
 
-func (g *guarded) Handle(now policy.Time, ev policy.Event) []policy.Action {
+func (g *lockedBalancer) Handle(now policy.Time, ev policy.Event) []policy.Action {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.Balancer.Handle(now, ev)
 }
 
-func (g *guarded) String() string {
+func (g *lockedBalancer) String() string {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.Balancer.String()
--- a/internal/node/freshness_test.go
+++ b/internal/node/freshness_test.go
@@ -19,85 +19,87 @@
 	"cobaltward/policy"
 )
 
-// entry is one of a list in discovery's form, and delta what changed.
-func entry(id, phase string) string {
+// memberJSON returns a member of a list in discovery's JSON format.
+func memberJSON(id, phase string) string {
 	return fmt.Sprintf(`{"id":%q,"host_port":"127.0.0.1:9","phase":%q,"up_since_ms":0}`, id, phase)
 }
 
-func delta(revision int, entries ...string) string {
+// deltaJSON returns a delta of a list in discovery's JSON format.
+func deltaJSON(revision int, entries ...string) string {
 	return fmt.Sprintf(`{"revision":%d,"complete":false,"members":[%s]}`, revision, strings.Join(entries, ","))
 }
 
-// registry is discovery on a test's clock. It handles calls in turn, turns away those that would wait for
-// too long, and can go wrong in the ways that the protocol tells of.
-type registry struct {
-	list string        // the whole list, or what each watch is told of
-	each time.Duration // that a call takes; one that goes on with a watch takes none
-	// patience is how long a call waits at most; those that would wait for longer are turned away.
-	patience time.Duration
-	spoil    func(n int) string
-	down     bool
-	gone     map[string]bool // addresses where nobody is
-
-	serving  sync.WaitGroup
-	mu       sync.Mutex
-	calls    []time.Time
-	queries  []string
-	revision int
-	changed  chan struct{}
-	hush     chan struct{}
-	cut      chan struct{}
-	free     time.Time
-	told     map[string]time.Time // by node: when news counts as told for its watch fell silent
+// fakeDiscovery is a discovery server that runs on a test's clock. It handles calls one at a time, rejects those that
+// would wait too long, and can fail in each way that the protocol describes.
+type fakeDiscovery struct {
+	list         string        // members of the full list, and of the delta that each watch gets
+	callDuration time.Duration // processing time of a call; a call that continues a watch takes none
+	// maxQueueWait is how long a call may wait for its turn; one that would wait longer is rejected with 503.
+	maxQueueWait time.Duration
+	faultFor     func(n int) string // the fault of call n; "" means none
+	down         bool               // refuses all connections
+	refusedAddrs map[string]bool    // addresses that refuse connections
+
+	handlers     sync.WaitGroup
+	mu           sync.Mutex
+	calls        []time.Time
+	queries      []string
+	revision     int
+	changed      chan struct{}
+	silenced     chan struct{}
+	disconnected chan struct{}
+	nextFree     time.Time
+	deliveredAt  map[string]time.Time // by node: when news counts as delivered, though its call failed
 }
 
-func newRegistry(t *testing.T) *registry {
-	r := &registry{revision: 7, patience: 2 * time.Second, changed: make(chan struct{}), hush: make(chan struct{}), cut: make(chan struct{}), told: map[string]time.Time{},
-		spoil: func(int) string { return "" }, list: entry("s0", "up") + "," + entry("s1", "up"), gone: map[string]bool{}}
-	t.Cleanup(r.serving.Wait)
-	return r
+func newFakeDiscovery(t *testing.T) *fakeDiscovery {
+	fake := &fakeDiscovery{revision: 7, maxQueueWait: 2 * time.Second, changed: make(chan struct{}), silenced: make(chan struct{}), disconnected: make(chan struct{}), deliveredAt: map[string]time.Time{},
+		faultFor: func(int) string { return "" }, list: memberJSON("s0", "up") + "," + memberJSON("s1", "up"), refusedAddrs: map[string]bool{}}
+	t.Cleanup(fake.handlers.Wait)
+	return fake
 }
 
-// change makes the list news to every watch.
-func (r *registry) change(list string) {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	r.list = list
-	r.revision++
-	close(r.changed)
-	r.changed = make(chan struct{})
+// updateList replaces the list and answers every watch with it.
+func (fake *fakeDiscovery) updateList(list string) {
+	fake.mu.Lock()
+	defer fake.mu.Unlock()
+	fake.list = list
+	fake.revision++
+	close(fake.changed)
+	fake.changed = make(chan struct{})
 }
 
-// silence makes all open watches fall silent for good; new calls are answered.
-func (r *registry) silence() {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	close(r.hush)
-	r.hush = make(chan struct{})
+// silenceWatches leaves all open watches without an answer for good; new calls are answered.
+func (fake *fakeDiscovery) silenceWatches() {
+	fake.mu.Lock()
+	defer fake.mu.Unlock()
+	close(fake.silenced)
+	fake.silenced = make(chan struct{})
 }
 
-// reset breaks all open watches.
-func (r *registry) reset() {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	close(r.cut)
-	r.cut = make(chan struct{})
+// resetWatches closes the connections of all open watches.
+func (fake *fakeDiscovery) resetWatches() {
+	fake.mu.Lock()
+	defer fake.mu.Unlock()
+	close(fake.disconnected)
+	fake.disconnected = make(chan struct{})
 }
 
-func (r *registry) dial(node string) func(context.Context, string, string) (net.Conn, error) {
+// dial returns a dialer for one node, whose connections are served in memory.
+func (fake *fakeDiscovery) dial(node string) func(context.Context, string, string) (net.Conn, error) {
 	return func(_ context.Context, _, addr string) (net.Conn, error) {
-		r.mu.Lock()
-		defer r.mu.Unlock()
-		if r.down || r.gone[addr] {
+		fake.mu.Lock()
+		defer fake.mu.Unlock()
+		if fake.down || fake.refusedAddrs[addr] {
 			return nil, errors.New("connection refused")
 		}
 		client, server := net.Pipe()
-		r.serving.Go(func() { r.serve(node, server) })
+		fake.handlers.Go(func() { fake.serveConn(node, server) })
 		return client, nil
 	}
 }
 
-func (r *registry) serve(node string, c net.Conn) {
+func (fake *fakeDiscovery) serveConn(node string, c net.Conn) {
 	defer c.Close()
 	in, last := bufio.NewReader(c), time.Time{}
 	for {
@@ -105,141 +107,143 @@
 		if err != nil {
 			return
 		}
-		if !r.call(node, c, in, req, time.Since(last) <= 200*time.Millisecond) {
+		if !fake.handleCall(node, c, in, req, time.Since(last) <= 200*time.Millisecond) {
 			return
 		}
 		last = time.Now()
 	}
 }
 
-// call answers one call, and reports false where the connection is of no more use.
-func (r *registry) call(node string, c net.Conn, in *bufio.Reader, req *http.Request, goesOn bool) bool {
-	q, asked := req.URL.Query(), time.Now()
+// handleCall answers one call, and reports whether the connection can be used again.
+func (fake *fakeDiscovery) handleCall(node string, c net.Conn, in *bufio.Reader, req *http.Request, continuesWatch bool) bool {
+	q, calledAt := req.URL.Query(), time.Now()
 	index, _ := strconv.Atoi(q.Get("index"))
 	ms, _ := strconv.Atoi(q.Get("wait"))
 	wait := time.Duration(ms) * time.Millisecond
-	r.mu.Lock()
-	r.calls, r.queries = append(r.calls, asked), append(r.queries, req.URL.RawQuery)
-	n, turn, spoil := len(r.calls), asked, r.spoil
-	if !goesOn {
-		if turn = r.free; turn.Before(asked) {
-			turn = asked
+	fake.mu.Lock()
+	fake.calls, fake.queries = append(fake.calls, calledAt), append(fake.queries, req.URL.RawQuery)
+	n, servedAt, faultFor := len(fake.calls), calledAt, fake.faultFor
+	if !continuesWatch {
+		if servedAt = fake.nextFree; servedAt.Before(calledAt) {
+			servedAt = calledAt
 		}
-		if turn = turn.Add(r.each); turn.Sub(asked) > r.patience {
-			r.mu.Unlock()
-			return r.write(c, 503, "")
+		if servedAt = servedAt.Add(fake.callDuration); servedAt.Sub(calledAt) > fake.maxQueueWait {
+			fake.mu.Unlock()
+			return fake.respond(c, 503, "")
 		}
-		r.free = turn
+		fake.nextFree = servedAt
 	}
-	r.mu.Unlock()
-	time.Sleep(time.Until(turn))
+	fake.mu.Unlock()
+	time.Sleep(time.Until(servedAt))
 
-	silent := func(told time.Time) bool {
-		r.mu.Lock()
-		if r.told[node].IsZero() {
-			r.told[node] = told
+	hang := func(deliveredAt time.Time) bool {
+		fake.mu.Lock()
+		if fake.deliveredAt[node].IsZero() {
+			fake.deliveredAt[node] = deliveredAt
 		}
-		r.mu.Unlock()
-		_, _ = in.ReadByte() // until the node hangs up
+		fake.mu.Unlock()
+		_, _ = in.ReadByte() // until the node closes the connection
 		return false
 	}
-	fellSilent := func() bool { return silent(time.Now().Add(6 * time.Second)) }
-	how := spoil(n)
-	switch how {
+	hangUndelivered := func() bool { return hang(time.Now().Add(6 * time.Second)) }
+	fault := faultFor(n)
+	switch fault {
 	case "silent":
-		return fellSilent()
+		return hangUndelivered()
 	case "silent in its head":
 		_, _ = c.Write([]byte("HTTP/1.1 200 OK\r\nConte"))
-		return silent(time.Now())
+		return hang(time.Now())
 	case "silent in its body":
 		_, _ = c.Write([]byte("HTTP/1.1 200 OK\r\nContent-Length: 500\r\n\r\n{\"revision\":8,"))
-		return silent(time.Now())
+		return hang(time.Now())
 	case "trickling":
-		told := time.Now()
+		deliveredAt := time.Now()
 		_, _ = c.Write([]byte("HTTP/1.1 200 OK\r\nContent-Length: 500\r\n\r\n{"))
 		for err := error(nil); err == nil; time.Sleep(100 * time.Millisecond) {
 			_, err = c.Write([]byte(" "))
 		}
-		return silent(told)
+		return hang(deliveredAt)
 	case "reset":
 		return false
 	case "no HTTP":
 		_, _ = c.Write([]byte("PTTH/7 quux\r\n\r\n"))
-		return silent(time.Now())
+		return hang(time.Now())
 	case "malformed":
-		r.noteTold(node)
-		return r.write(c, 200, `{"revision":8,"complete":false,"members":[{"id":`)
+		fake.markDelivered(node)
+		return fake.respond(c, 200, `{"revision":8,"complete":false,"members":[{"id":`)
 	case "bad entry":
-		r.noteTold(node)
-		return r.write(c, 200, delta(8, entry("s0", "gone fishing")))
+		fake.markDelivered(node)
+		return fake.respond(c, 200, deltaJSON(8, memberJSON("s0", "gone fishing")))
 	case "a part":
-		r.noteTold(node)
-		return r.write(c, 200, delta(8, entry("s0", "draining")))
+		fake.markDelivered(node)
+		return fake.respond(c, 200, deltaJSON(8, memberJSON("s0", "draining")))
 	case "503":
-		return r.write(c, 503, "")
+		return fake.respond(c, 503, "")
 	case "queued":
 		time.Sleep(2 * time.Second)
-		return r.write(c, 503, "")
+		return fake.respond(c, 503, "")
 	case "late":
 		time.Sleep(wait + 450*time.Millisecond)
 	}
-	end := time.NewTimer(time.Until(asked.Add(wait)))
+	end := time.NewTimer(time.Until(calledAt.Add(wait)))
 	defer end.Stop()
-	for over := !q.Has("index"); ; {
-		r.mu.Lock()
-		changed, hush, cut, revision, list := r.changed, r.hush, r.cut, r.revision, r.list
-		r.mu.Unlock()
+	for timedOut := !q.Has("index"); ; {
+		fake.mu.Lock()
+		changed, silenced, disconnected, revision, list := fake.changed, fake.silenced, fake.disconnected, fake.revision, fake.list
+		fake.mu.Unlock()
 		switch {
 		case !q.Has("index"):
-			return r.write(c, 200, fmt.Sprintf(`{"revision":%d,"complete":true,"members":[%s]}`, revision, list))
+			return fake.respond(c, 200, fmt.Sprintf(`{"revision":%d,"complete":true,"members":[%s]}`, revision, list))
 		case revision > index:
-			return r.write(c, 200, delta(revision, list))
-		case over:
-			return r.write(c, 200, delta(revision))
+			return fake.respond(c, 200, deltaJSON(revision, list))
+		case timedOut:
+			return fake.respond(c, 200, deltaJSON(revision))
 		}
 		select {
 		case <-changed:
-		case <-hush:
-			return fellSilent()
-		case <-cut:
+		case <-silenced:
+			return hangUndelivered()
+		case <-disconnected:
 			return false
 		case <-end.C:
-			over = true
+			timedOut = true
 		}
 	}
 }
 
-func (r *registry) noteTold(node string) {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	if r.told[node].IsZero() {
-		r.told[node] = time.Now()
+// markDelivered records that news counts as delivered to a node from now on, unless it did already.
+func (fake *fakeDiscovery) markDelivered(node string) {
+	fake.mu.Lock()
+	defer fake.mu.Unlock()
+	if fake.deliveredAt[node].IsZero() {
+		fake.deliveredAt[node] = time.Now()
 	}
 }
 
-func (r *registry) write(c net.Conn, status int, body string) bool {
+func (fake *fakeDiscovery) respond(c net.Conn, status int, body string) bool {
 	_, err := fmt.Fprintf(c, "HTTP/1.1 %d X\r\nContent-Length: %d\r\n\r\n%s", status, len(body), body)
 	return err == nil
 }
 
-func (r *registry) toldAt(node string) time.Time {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	return r.told[node]
+func (fake *fakeDiscovery) deliveryTime(node string) time.Time {
+	fake.mu.Lock()
+	defer fake.mu.Unlock()
+	return fake.deliveredAt[node]
 }
 
-func (r *registry) asked() int {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	return len(r.calls)
+// callCount returns the number of calls so far.
+func (fake *fakeDiscovery) callCount() int {
+	fake.mu.Lock()
+	defer fake.mu.Unlock()
+	return len(fake.calls)
 }
 
-const drainGrace = time.Second // in these tests
+const drainGrace = time.Second // of the rule on drains, in these tests
 
-// follower runs a node's loop, module and discovery, and nothing else of it.
-func follower(t *testing.T, r *registry, n, nodes int, subscribe bool, seed uint64) *loop {
+// startListNode runs the event loop, decision module and discovery client of a node, and nothing else of it.
+func startListNode(t *testing.T, fake *fakeDiscovery, n, nodes int, subscribe bool, seed uint64) *loop {
 	t.Helper()
-	c := testConfig(t, knownList("127.0.0.1:9", "127.0.0.1:10"))
+	c := testConfig(t, memberListJSON("127.0.0.1:9", "127.0.0.1:10"))
 	c.Seed, c.Discovery = seed, "old:1"
 	set := &c.Settings
 	set.Node, set.Nodes, set.Subscribe = n, nodes, subscribe
@@ -248,19 +252,19 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	follow := c.discoveryConfig()
-	follow.Dial = r.dial(fmt.Sprint(n))
-	l.discovery = discovery.New(follow, func(n discovery.Update) { l.send(n) })
+	config := c.discoveryConfig()
+	config.Dial = fake.dial(fmt.Sprint(n))
+	l.discovery = discovery.New(config, func(u discovery.Update) { l.send(u) })
 	ctx, cancel := context.WithCancel(context.Background())
-	var parts sync.WaitGroup
-	parts.Go(func() { l.run(ctx, c.Known) })
-	parts.Go(func() { l.discovery.Run(ctx) })
-	t.Cleanup(func() { cancel(); parts.Wait() })
+	var wg sync.WaitGroup
+	wg.Go(func() { l.run(ctx, c.Known) })
+	wg.Go(func() { l.discovery.Run(ctx) })
+	t.Cleanup(func() { cancel(); wg.Wait() })
 	return l
 }
 
-// drains tells whether the node knows that s0 is leaving.
-func drains(l *loop) bool {
+// knowsDrain reports whether the node knows that s0 is draining or gone.
+func knowsDrain(l *loop) bool {
 	for _, m := range l.snapshot().Members {
 		if m.Server == "s0" {
 			return m.Availability != policy.Running
@@ -269,59 +273,60 @@
 	return true
 }
 
-func modes(t *testing.T, test func(t *testing.T, subscribe bool)) {
-	for name, subscribe := range map[string]bool{"asked": true, "pushed": false} {
+// forEachListMode runs a test with lists that are fetched on the module's request, and with lists that are always watched.
+func forEachListMode(t *testing.T, test func(t *testing.T, subscribe bool)) {
+	for name, subscribe := range map[string]bool{"on request": true, "pushed": false} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				time.Sleep(time.Nanosecond) // the race detector ends the program where a bubble's first timer is due at once
+				time.Sleep(time.Nanosecond) // the race detector ends the program if a bubble's first timer is due at once
 				test(t, subscribe)
 			})
 		})
 	}
 }
 
-// All open watches of a fleet fall silent together, right after a change has answered them together, and
-// servers drain. By the time that counts as told and the grace is over, each node has to have given its
-// watch up, been served by a discovery that handles calls in turn, and told its loop.
-func TestFleetHearsOfDrainsAfterSilentWatches(t *testing.T) {
-	for _, nodes := range []int{1, 2, 6, 40, largestFleet} {
+// All open watches of a fleet stop getting answers together, right after a change answered all of them, and a server
+// begins to drain. By the time that the drain counts as delivered and the grace is over, each node must have given its
+// watch up, been served by a discovery server that handles calls one at a time, and updated its loop.
+func TestDrainsReachFleetAfterSilentWatches(t *testing.T) {
+	for _, nodes := range []int{1, 2, 6, 40, maxFleetSize} {
 		for seed := range uint64(3) {
 			t.Run(fmt.Sprint(nodes, " nodes ", seed), func(t *testing.T) {
-				modes(t, func(t *testing.T, subscribe bool) {
-					r := newRegistry(t)
-					r.each = min(355*time.Millisecond, 5*time.Second/time.Duration(nodes)) // as the operators' bench was seen to
+				forEachListMode(t, func(t *testing.T, subscribe bool) {
+					fake := newFakeDiscovery(t)
+					fake.callDuration = min(355*time.Millisecond, 5*time.Second/time.Duration(nodes)) // the processing time observed on the operators' bench
 					var fleet []*loop
 					for n := range nodes {
-						fleet = append(fleet, follower(t, r, n, nodes, subscribe, seed))
+						fleet = append(fleet, startListNode(t, fake, n, nodes, subscribe, seed))
 					}
 					time.Sleep(20 * time.Second)
-					r.change(entry("s1", "up"))
+					fake.updateList(memberJSON("s1", "up"))
 					time.Sleep(50 * time.Millisecond)
-					r.silence()
-					before := r.asked()
+					fake.silenceWatches()
+					before := fake.callCount()
 					time.Sleep(500 * time.Millisecond)
-					r.change(entry("s0", "draining"))
+					fake.updateList(memberJSON("s0", "draining"))
 					synctest.Wait()
 					late, due, order := 0, make([]time.Time, nodes), make([]int, nodes)
 					for n := range fleet {
-						told := r.toldAt(fmt.Sprint(n))
-						if told.IsZero() {
+						deliveredAt := fake.deliveryTime(fmt.Sprint(n))
+						if deliveredAt.IsZero() {
 							t.Fatalf("node %d had no watch", n)
 						}
-						due[n], order[n] = told.Add(drainGrace), n
+						due[n], order[n] = deliveredAt.Add(drainGrace), n
 					}
 					slices.SortFunc(order, func(x, y int) int { return due[x].Compare(due[y]) })
 					for _, n := range order {
 						time.Sleep(time.Until(due[n]))
-						if !drains(fleet[n]) {
+						if !knowsDrain(fleet[n]) {
 							late++
 						}
 					}
 					if late > 0 {
-						t.Errorf("%d nodes hear too late that a server drains", late)
+						t.Errorf("%d nodes learn too late that a server is draining", late)
 					}
-					// Each gives one watch up, makes sure that it is heard, and watches again.
-					if calls := r.asked() - before; calls > 5*nodes {
+					// Each gives one watch up, checks that discovery is reachable, and watches again.
+					if calls := fake.callCount() - before; calls > 5*nodes {
 						t.Errorf("%d calls by %d nodes meanwhile", calls, nodes)
 					}
 				})
@@ -330,38 +335,38 @@
 	}
 }
 
-// All open watches of a fleet are reset together, and servers drain right after. That counts as told 6 s later,
-// whatever the settings give for asking; discovery can't answer all at once.
-func TestFleetHearsOfDrainsAfterResetWatches(t *testing.T) {
-	for _, nodes := range []int{1, 2, 6, 40, largestFleet} {
+// All open watches of a fleet are reset together, and a server begins to drain right after. That counts as delivered 6 s
+// later, whatever interval the settings allow for requests; discovery can't answer all nodes at once.
+func TestDrainsReachFleetAfterResetWatches(t *testing.T) {
+	for _, nodes := range []int{1, 2, 6, 40, maxFleetSize} {
 		for seed := range uint64(3) {
 			t.Run(fmt.Sprint(nodes, " nodes ", seed), func(t *testing.T) {
 				synctest.Test(t, func(t *testing.T) {
 					time.Sleep(time.Nanosecond)
-					r := newRegistry(t)
-					r.each = min(355*time.Millisecond, 5*time.Second/time.Duration(nodes))
+					fake := newFakeDiscovery(t)
+					fake.callDuration = min(355*time.Millisecond, 5*time.Second/time.Duration(nodes))
 					var fleet []*loop
 					for n := range nodes {
-						fleet = append(fleet, follower(t, r, n, nodes, true, seed))
+						fleet = append(fleet, startListNode(t, fake, n, nodes, true, seed))
 					}
 					time.Sleep(20 * time.Second)
-					r.change(entry("s1", "up"))
+					fake.updateList(memberJSON("s1", "up"))
 					time.Sleep(50 * time.Millisecond)
-					r.reset()
-					before := r.asked()
+					fake.resetWatches()
+					before := fake.callCount()
 					time.Sleep(500 * time.Millisecond)
-					r.change(entry("s0", "draining"))
+					fake.updateList(memberJSON("s0", "draining"))
 					time.Sleep(6*time.Second + drainGrace)
 					late := 0
 					for _, l := range fleet {
-						if !drains(l) {
+						if !knowsDrain(l) {
 							late++
 						}
 					}
 					if late > 0 {
-						t.Errorf("%d nodes hear too late that a server drains", late)
+						t.Errorf("%d nodes learn too late that a server is draining", late)
 					}
-					if calls := r.asked() - before; calls > 7*nodes {
+					if calls := fake.callCount() - before; calls > 7*nodes {
 						t.Errorf("%d calls by %d nodes meanwhile", calls, nodes)
 					}
 				})
@@ -370,37 +375,37 @@
 	}
 }
 
-// All nodes of a fleet are moved to another address in the same moment, and servers have begun to drain there.
-func TestFleetHearsOfDrainsAfterAMove(t *testing.T) {
-	for _, nodes := range []int{1, 2, 6, 40, largestFleet} {
+// All nodes of a fleet are moved to another discovery address at the same moment, and its list already has a draining server.
+func TestDrainsReachFleetAfterMove(t *testing.T) {
+	for _, nodes := range []int{1, 2, 6, 40, maxFleetSize} {
 		for seed := range uint64(3) {
 			t.Run(fmt.Sprint(nodes, " nodes ", seed), func(t *testing.T) {
-				modes(t, func(t *testing.T, subscribe bool) {
-					r := newRegistry(t)
-					r.each = min(355*time.Millisecond, 5*time.Second/time.Duration(nodes))
+				forEachListMode(t, func(t *testing.T, subscribe bool) {
+					fake := newFakeDiscovery(t)
+					fake.callDuration = min(355*time.Millisecond, 5*time.Second/time.Duration(nodes))
 					var fleet []*loop
 					for n := range nodes {
-						fleet = append(fleet, follower(t, r, n, nodes, subscribe, seed))
+						fleet = append(fleet, startListNode(t, fake, n, nodes, subscribe, seed))
 					}
 					time.Sleep(20 * time.Second)
-					r.mu.Lock()
-					r.list, r.revision = entry("s0", "draining")+","+entry("s1", "up"), 3
-					r.mu.Unlock()
-					before := r.asked()
+					fake.mu.Lock()
+					fake.list, fake.revision = memberJSON("s0", "draining")+","+memberJSON("s1", "up"), 3
+					fake.mu.Unlock()
+					before := fake.callCount()
 					for _, l := range fleet {
 						l.discovery.Move("new:1")
 					}
 					time.Sleep(4*time.Second + drainGrace)
 					late := 0
 					for _, l := range fleet {
-						if !drains(l) {
+						if !knowsDrain(l) {
 							late++
 						}
 					}
 					if late > 0 {
-						t.Errorf("%d nodes hear too late that a server drains", late)
+						t.Errorf("%d nodes learn too late that a server is draining", late)
 					}
-					if calls := r.asked() - before; calls > 4*nodes {
+					if calls := fake.callCount() - before; calls > 4*nodes {
 						t.Errorf("%d calls by %d nodes meanwhile", calls, nodes)
 					}
 				})
@@ -409,50 +414,50 @@
 	}
 }
 
-// Each way in which a call can go wrong, at the start and later, once and twice in a row: a drain that it
-// hides, wholly or in part, is known before the grace is over.
-func TestDrainsAreHeardPastBrokenCalls(t *testing.T) {
-	for _, how := range []string{"silent", "silent in its head", "silent in its body", "trickling", "reset", "no HTTP",
+// A call fails in each possible way, as the first call or later, once or twice in a row. A drain that the failure hides,
+// completely or in part, must be known before the grace is over.
+func TestDrainsReachNodeDespiteFailedCalls(t *testing.T) {
+	for _, fault := range []string{"silent", "silent in its head", "silent in its body", "trickling", "reset", "no HTTP",
 		"malformed", "bad entry", "503", "queued", "late"} {
 		for _, nodes := range []int{2, 350} {
 			for _, first := range []int{1, 4} {
 				for _, times := range []int{1, 2} {
-					t.Run(fmt.Sprintf("%s, call %d, %d times, %d nodes", how, first, times, nodes), func(t *testing.T) {
-						modes(t, func(t *testing.T, subscribe bool) {
-							if how == "queued" && !subscribe {
-								return // what a pushed list's agent has counts at once: none may wait in a queue
+					t.Run(fmt.Sprintf("%s, call %d, %d times, %d nodes", fault, first, times, nodes), func(t *testing.T) {
+						forEachListMode(t, func(t *testing.T, subscribe bool) {
+							if fault == "queued" && !subscribe {
+								return // what the agent of a pushed list has counts as delivered at once: no call may queue
 							}
 							for seed := range uint64(10) {
-								r, begun := newRegistry(t), make(chan struct{})
-								r.spoil = func(n int) string {
+								fake, begun := newFakeDiscovery(t), make(chan struct{})
+								fake.faultFor = func(n int) string {
 									if n < first || n >= first+times {
 										return ""
 									}
 									if n == first {
-										r.change(entry("s0", "draining"))
+										fake.updateList(memberJSON("s0", "draining"))
 										close(begun)
 									}
-									return how
+									return fault
 								}
-								l := follower(t, r, 0, nodes, subscribe, seed)
+								l := startListNode(t, fake, 0, nodes, subscribe, seed)
 								<-begun
 								drained := time.Now()
 								synctest.Wait()
-								told := r.toldAt("0")
-								if how == "late" { // told as it is written
-									told = drained.Add(10 * time.Second)
+								deliveredAt := fake.deliveryTime("0")
+								if fault == "late" { // delivered when it is written
+									deliveredAt = drained.Add(10 * time.Second)
 								}
-								if strings.Contains(how, " in its ") || how == "trickling" && times > 1 {
-									told = drained.Add(6 * time.Second) // it was not written whole
+								if strings.Contains(fault, " in its ") || fault == "trickling" && times > 1 {
+									deliveredAt = drained.Add(6 * time.Second) // it was not written completely
 								}
-								if told.IsZero() { // the node has no watch, and no answer had begun
-									if told = drained; subscribe {
-										told = told.Add(6 * time.Second)
+								if deliveredAt.IsZero() { // the node has no watch, and no answer has begun
+									if deliveredAt = drained; subscribe {
+										deliveredAt = deliveredAt.Add(6 * time.Second)
 									}
 								}
-								time.Sleep(time.Until(told.Add(drainGrace)))
-								if !drains(l) {
-									t.Errorf("seed %d: the drain is not known %v after it was told; calls at %v", seed, drainGrace, ago(r, drained))
+								time.Sleep(time.Until(deliveredAt.Add(drainGrace)))
+								if !knowsDrain(l) {
+									t.Errorf("seed %d: the drain is not known %v after its delivery; calls at %v", seed, drainGrace, callLog(fake, drained))
 								}
 							}
 						})
@@ -463,55 +468,55 @@
 	}
 }
 
-// ago tells when the calls came.
-func ago(r *registry, from time.Time) string {
-	r.mu.Lock()
-	defer r.mu.Unlock()
+// callLog lists the calls with their times relative to from.
+func callLog(fake *fakeDiscovery, from time.Time) string {
+	fake.mu.Lock()
+	defer fake.mu.Unlock()
 	var b strings.Builder
-	for i, at := range r.calls {
-		fmt.Fprintf(&b, "%v?%s ", at.Sub(from), r.queries[i])
+	for i, at := range fake.calls {
+		fmt.Fprintf(&b, "%v?%s ", at.Sub(from), fake.queries[i])
 	}
 	return b.String()
 }
 
-// After SIGHUP news counts 4 s later, whatever the node was about: a silent watch, an old address that was
-// down and is left alone for a while, a first answer that goes wrong.
-func TestMovedNodesHearInTime(t *testing.T) {
+// After a move (SIGHUP) news counts as delivered 4 s later, whatever the state of the node: a watch without an answer, an
+// old address that is down and not retried for a while, a first call to the new address that fails.
+func TestDrainsReachNodeAfterMove(t *testing.T) {
 	for _, before := range []string{"", "silent", "down"} {
 		for _, answer := range []string{"", "silent", "malformed", "a part", "503", "reset", "trickling"} {
 			t.Run(fmt.Sprintf("%q then %q", before, answer), func(t *testing.T) {
-				modes(t, func(t *testing.T, subscribe bool) {
+				forEachListMode(t, func(t *testing.T, subscribe bool) {
 					for seed := range uint64(10) {
-						r := newRegistry(t)
-						l := follower(t, r, 0, 350, subscribe, seed)
+						fake := newFakeDiscovery(t)
+						l := startListNode(t, fake, 0, 350, subscribe, seed)
 						time.Sleep(15 * time.Second)
 						switch before {
 						case "silent":
-							r.silence()
+							fake.silenceWatches()
 						case "down":
-							r.mu.Lock()
-							r.gone["old:1"] = true
-							r.mu.Unlock()
-							r.change(entry("s1", "up")) // answers the watch, and the next call fails
+							fake.mu.Lock()
+							fake.refusedAddrs["old:1"] = true
+							fake.mu.Unlock()
+							fake.updateList(memberJSON("s1", "up")) // answers the watch; the next call fails
 							time.Sleep(20 * time.Second)
 						}
 						time.Sleep(time.Duration(seed) * 300 * time.Millisecond)
-						r.mu.Lock()
-						r.list = entry("s0", "draining") + "," + entry("s1", "up")
-						r.revision = 3 // of the new address
-						n := len(r.calls)
-						r.spoil = func(call int) string {
+						fake.mu.Lock()
+						fake.list = memberJSON("s0", "draining") + "," + memberJSON("s1", "up")
+						fake.revision = 3 // the new address numbers its revisions independently
+						n := len(fake.calls)
+						fake.faultFor = func(call int) string {
 							if call == n+1 {
 								return answer
 							}
 							return ""
 						}
-						r.mu.Unlock()
+						fake.mu.Unlock()
 						l.discovery.Move("new:1")
 						moved := time.Now()
 						time.Sleep(4*time.Second + drainGrace)
-						if !drains(l) {
-							t.Errorf("seed %d: the drain is not known; calls at %v", seed, ago(r, moved))
+						if !knowsDrain(l) {
+							t.Errorf("seed %d: the drain is not known; calls at %v", seed, callLog(fake, moved))
 						}
 					}
 				})
@@ -520,49 +525,49 @@
 	}
 }
 
-// Discovery is down for some seconds and back, and servers drain while it is away or at its return. Pushed lists
-// are heard at once, and those that are asked for within 6 s of the moment from which discovery can be reached,
-// whether it refused connections meanwhile or answered that it is overbooked, and with some calls at its return
-// turned away, reset or lost.
-func TestDrainsAreHeardAsDiscoveryComesBack(t *testing.T) {
-	for _, away := range []string{"refused", "503", "reset"} {
-		for _, back := range []string{"", "503", "reset", "silent"} {
-			for _, nodes := range []int{2, largestFleet} {
-				t.Run(fmt.Sprintf("%s then %q, %d nodes", away, back, nodes), func(t *testing.T) {
-					modes(t, func(t *testing.T, subscribe bool) {
+// Discovery is unavailable for some seconds, and a server begins to drain before it returns. Drains on pushed lists must
+// be known within the grace after discovery is reachable again, and 6 s later on requested lists or if the first call gets
+// no answer. That holds whether discovery refused connections, reset them or answered 503 in the outage, and also if the
+// first call after its return fails.
+func TestDrainsReachNodeAfterOutage(t *testing.T) {
+	for _, outage := range []string{"refused", "503", "reset"} {
+		for _, atReturn := range []string{"", "503", "reset", "silent"} {
+			for _, nodes := range []int{2, maxFleetSize} {
+				t.Run(fmt.Sprintf("%s then %q, %d nodes", outage, atReturn, nodes), func(t *testing.T) {
+					forEachListMode(t, func(t *testing.T, subscribe bool) {
 						for seed := range uint64(10) {
-							r := newRegistry(t)
-							l := follower(t, r, 0, nodes, subscribe, seed)
+							fake := newFakeDiscovery(t)
+							l := startListNode(t, fake, 0, nodes, subscribe, seed)
 							time.Sleep(15 * time.Second)
-							r.mu.Lock()
-							r.down = away == "refused"
-							r.spoil = func(int) string { return away }
-							r.mu.Unlock()
-							if seed%2 == 0 { // it answers the watch
-								r.change(entry("s1", "up"))
+							fake.mu.Lock()
+							fake.down = outage == "refused"
+							fake.faultFor = func(int) string { return outage }
+							fake.mu.Unlock()
+							if seed%2 == 0 { // ends the watch with an answer, not a reset
+								fake.updateList(memberJSON("s1", "up"))
 							} else {
-								r.reset()
+								fake.resetWatches()
 							}
 							time.Sleep(8*time.Second + time.Duration(seed)*100*time.Millisecond)
-							r.change(entry("s0", "draining"))
-							r.mu.Lock()
-							n := len(r.calls)
-							r.down = false
-							r.spoil = func(call int) string {
+							fake.updateList(memberJSON("s0", "draining"))
+							fake.mu.Lock()
+							n := len(fake.calls)
+							fake.down = false
+							fake.faultFor = func(call int) string {
 								if call == n+1 {
-									return back
+									return atReturn
 								}
 								return ""
 							}
-							r.mu.Unlock()
+							fake.mu.Unlock()
 							returned := time.Now()
 							grace := drainGrace
-							if subscribe || back == "silent" {
+							if subscribe || atReturn == "silent" {
 								grace += 6 * time.Second
 							}
 							time.Sleep(grace)
-							if !drains(l) {
-								t.Errorf("seed %d: the drain is not known; calls at %v", seed, ago(r, returned))
+							if !knowsDrain(l) {
+								t.Errorf("seed %d: the drain is not known; calls at %v", seed, callLog(fake, returned))
 							}
 						}
 					})
@@ -572,55 +577,56 @@
 	}
 }
 
-// A whole fleet without discovery for 8 s hears of drains in time once it is back, and its calls don't come in step.
-func TestFleetHearsOfDrainsAsDiscoveryComesBack(t *testing.T) {
-	for _, nodes := range []int{1, 2, 6, 40, largestFleet} {
-		for _, away := range []string{"refused", "503"} {
-			t.Run(fmt.Sprint(nodes, " nodes ", away), func(t *testing.T) {
+// A whole fleet is without discovery for 8 s. It must know of drains in time once discovery is back, without synchronized
+// calls.
+func TestDrainsReachFleetAfterOutage(t *testing.T) {
+	for _, nodes := range []int{1, 2, 6, 40, maxFleetSize} {
+		for _, outage := range []string{"refused", "503"} {
+			t.Run(fmt.Sprint(nodes, " nodes ", outage), func(t *testing.T) {
 				synctest.Test(t, func(t *testing.T) {
 					time.Sleep(time.Nanosecond)
-					r := newRegistry(t)
-					r.each = min(355*time.Millisecond, 5*time.Second/time.Duration(nodes))
+					fake := newFakeDiscovery(t)
+					fake.callDuration = min(355*time.Millisecond, 5*time.Second/time.Duration(nodes))
 					var fleet []*loop
 					for n := range nodes {
-						fleet = append(fleet, follower(t, r, n, nodes, true, 1))
+						fleet = append(fleet, startListNode(t, fake, n, nodes, true, 1))
 					}
 					time.Sleep(20 * time.Second)
-					r.mu.Lock()
-					r.down = away == "refused"
-					if !r.down {
-						r.spoil = func(int) string { return away }
+					fake.mu.Lock()
+					fake.down = outage == "refused"
+					if !fake.down {
+						fake.faultFor = func(int) string { return outage }
 					}
-					r.mu.Unlock()
-					r.reset()
+					fake.mu.Unlock()
+					fake.resetWatches()
 					time.Sleep(8 * time.Second)
-					r.change(entry("s0", "draining"))
-					r.mu.Lock()
-					r.down, r.spoil = false, func(int) string { return "" }
-					before, free := len(r.calls), time.Now()
-					if r.free.After(free) {
-						r.free = free
+					fake.updateList(memberJSON("s0", "draining"))
+					fake.mu.Lock()
+					fake.down, fake.faultFor = false, func(int) string { return "" }
+					before, free := len(fake.calls), time.Now()
+					if fake.nextFree.After(free) {
+						fake.nextFree = free
 					}
-					r.mu.Unlock()
+					fake.mu.Unlock()
 					time.Sleep(6*time.Second + drainGrace)
 					late := 0
 					for _, l := range fleet {
-						if !drains(l) {
+						if !knowsDrain(l) {
 							late++
 						}
 					}
 					if late > 0 {
-						t.Errorf("%d nodes hear too late that a server drains", late)
+						t.Errorf("%d nodes learn too late that a server is draining", late)
 					}
-					calls := r.asked() - before
+					calls := fake.callCount() - before
 					if calls > 7*nodes {
 						t.Errorf("%d calls by %d nodes meanwhile", calls, nodes)
 					}
-					r.mu.Lock()
-					defer r.mu.Unlock()
-					for i := before; i+nodes/4 < len(r.calls); i++ { // a quarter of them in a tenth of a second is in step
-						if nodes >= 40 && r.calls[i+nodes/4].Sub(r.calls[i]) < 100*time.Millisecond {
-							t.Fatalf("%d of %d nodes call within %v", nodes/4, nodes, r.calls[i+nodes/4].Sub(r.calls[i]))
+					fake.mu.Lock()
+					defer fake.mu.Unlock()
+					for i := before; i+nodes/4 < len(fake.calls); i++ { // a quarter of the nodes within 0.1 s counts as synchronized
+						if nodes >= 40 && fake.calls[i+nodes/4].Sub(fake.calls[i]) < 100*time.Millisecond {
+							t.Fatalf("%d of %d nodes call discovery within %v", nodes/4, nodes, fake.calls[i+nodes/4].Sub(fake.calls[i]))
 						}
 					}
 				})
@@ -629,156 +635,155 @@
 	}
 }
 
-// longestModulePause is the longest time after which the module asks again: 1.5 times a quarter of 6 s.
-const longestModulePause = 2250 * time.Millisecond
+// maxUpdateRequestDelay is the longest pause before the module requests updates again: 1.5 times a quarter of 6 s.
+const maxUpdateRequestDelay = 2250 * time.Millisecond
 
-// Where lists are asked for, the module says when, once news that calls may have missed has counted as told in
-// vain; it hears of that once, and no call goes out for as long as it may take to ask.
-func TestAskedListsTellFailures(t *testing.T) {
+// With lists on request, the module gets one report that the list is unavailable, soon after news that failed calls may
+// have missed counts as delivered. No call is made until the module requests updates again.
+func TestRequestedListsReportFailures(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		time.Sleep(time.Nanosecond)
-		r, told := newRegistry(t), make(chan discovery.Update, 100)
-		r.spoil = func(int) string { return "503" }
-		c := testConfig(t, knownList("127.0.0.1:9"))
+		fake, updates := newFakeDiscovery(t), make(chan discovery.Update, 100)
+		fake.faultFor = func(int) string { return "503" }
+		c := testConfig(t, memberListJSON("127.0.0.1:9"))
 		c.Discovery, c.Settings.Subscribe, c.Settings.Rules.DrainGrace = "old:1", true, drainGrace
-		follow := c.discoveryConfig()
-		follow.Dial = r.dial("0")
-		d := discovery.New(follow, func(n discovery.Update) { told <- n })
+		config := c.discoveryConfig()
+		config.Dial = fake.dial("0")
+		d := discovery.New(config, func(u discovery.Update) { updates <- u })
 		ctx, cancel := context.WithCancel(t.Context())
-		var parts sync.WaitGroup
-		parts.Go(func() { d.Run(ctx) })
-		defer parts.Wait()
+		var wg sync.WaitGroup
+		wg.Go(func() { d.Run(ctx) })
+		defer wg.Wait()
 		defer cancel()
 		for range 3 {
 			d.RequestUpdates(true)
 			began := time.Now()
-			if n := <-told; n.Kind != policy.ListUnavailable {
-				t.Fatalf("news %+v", n)
+			if u := <-updates; u.Kind != policy.ListUnavailable {
+				t.Fatalf("update %+v, want an unavailable list", u)
 			}
 			if after := time.Since(began); after > 6*time.Second+drainGrace+time.Second {
-				t.Errorf("the module hears of failures after %v", after)
+				t.Errorf("the module is told of the failures after %v", after)
 			}
-			before := r.asked()
-			time.Sleep(longestModulePause)
-			if n := r.asked() - before; n > 0 || len(told) > 0 {
-				t.Errorf("%d calls and %d news before the module asked", n, len(told))
+			before := fake.callCount()
+			time.Sleep(maxUpdateRequestDelay)
+			if n := fake.callCount() - before; n > 0 || len(updates) > 0 {
+				t.Errorf("%d calls and %d updates before the module requested any", n, len(updates))
 			}
 		}
-		r.mu.Lock()
-		r.spoil = func(int) string { return "" }
-		r.mu.Unlock()
-		r.change(entry("s1", "up"))
+		fake.mu.Lock()
+		fake.faultFor = func(int) string { return "" }
+		fake.mu.Unlock()
+		fake.updateList(memberJSON("s1", "up"))
 		d.RequestUpdates(true)
-		if n := <-told; n.Kind != policy.ListUpdate || len(n.Members) != 1 {
-			t.Errorf("news %+v", n)
+		if u := <-updates; u.Kind != policy.ListUpdate || len(u.Members) != 1 {
+			t.Errorf("update %+v, want a list update with one member", u)
 		}
 	})
 }
 
-// A discovery that takes long for each call is heard all the same, for calls are not given up in its queue
-// time and again.
-func TestSlowDiscoveryIsHeard(t *testing.T) {
-	modes(t, func(t *testing.T, subscribe bool) {
+// Updates arrive even if discovery takes long for each call. A node that gave its calls up too early would queue again
+// from the end each time.
+func TestUpdatesFromSlowDiscovery(t *testing.T) {
+	forEachListMode(t, func(t *testing.T, subscribe bool) {
 		for _, each := range []time.Duration{1900 * time.Millisecond, 2900 * time.Millisecond, 5 * time.Second} {
-			r := newRegistry(t)
-			r.each, r.patience = each, 10*time.Second
-			l := follower(t, r, 0, 350, subscribe, 1)
+			fake := newFakeDiscovery(t)
+			fake.callDuration, fake.maxQueueWait = each, 10*time.Second
+			l := startListNode(t, fake, 0, 350, subscribe, 1)
 			time.Sleep(15 * time.Second)
-			r.silence()
-			r.change(entry("s0", "draining"))
+			fake.silenceWatches()
+			fake.updateList(memberJSON("s0", "draining"))
 			time.Sleep(40 * time.Second)
-			if !drains(l) {
-				t.Errorf("%v a call: the drain is not known 40 s later; calls at %s", each, ago(r, time.Now()))
+			if !knowsDrain(l) {
+				t.Errorf("%v per call: the drain is not known 40 s later; calls at %s", each, callLog(fake, time.Now()))
 			}
 		}
 	})
 }
 
-// A watch that nothing happens on costs one call in 2.6 s on average, the most that silent ones leave room for
-// with a grace of a second.
-func TestQuietWatchesCostFewCalls(t *testing.T) {
+// A watch without changes costs one call per 2.6 s on average. With a grace of one second, unanswered watches leave no
+// room for longer waits.
+func TestIdleWatchCallRate(t *testing.T) {
 	for nodes, want := range map[int][2]int{1: {330, 360}, 2: {330, 360}, 350: {300, 390}} {
-		modes(t, func(t *testing.T, subscribe bool) {
-			r := newRegistry(t)
-			follower(t, r, 0, nodes, subscribe, 1)
+		forEachListMode(t, func(t *testing.T, subscribe bool) {
+			fake := newFakeDiscovery(t)
+			startListNode(t, fake, 0, nodes, subscribe, 1)
 			time.Sleep(15 * time.Minute)
-			if n := r.asked(); n < want[0] || n > want[1] {
-				t.Errorf("%d calls of one of %d nodes in a quarter of an hour, want %v", n, nodes, want)
+			if n := fake.callCount(); n < want[0] || n > want[1] {
+				t.Errorf("%d calls by one of %d nodes in 15 minutes, want %v", n, nodes, want)
 			}
 		})
 	}
 }
 
-// Changes that come faster than calls are worth gather for a tenth of a second; one by itself is heard at once, also
-// right after such a burst.
-func TestBurstsOfChangesGather(t *testing.T) {
-	modes(t, func(t *testing.T, subscribe bool) {
+// Changes in quick succession are batched for 0.1 s. A single change is delivered at once, also right after such a burst.
+func TestBurstsOfChangesAreBatched(t *testing.T) {
+	forEachListMode(t, func(t *testing.T, subscribe bool) {
 		for _, nodes := range []int{1, 350} {
-			r := newRegistry(t)
-			l := follower(t, r, 0, nodes, subscribe, 1)
+			fake := newFakeDiscovery(t)
+			l := startListNode(t, fake, 0, nodes, subscribe, 1)
 			time.Sleep(20 * time.Second)
-			for _, phase := range []string{"draining", "up", "draining"} { // each by itself
-				r.change(entry("s0", phase))
+			for _, phase := range []string{"draining", "up", "draining"} { // each one alone
+				fake.updateList(memberJSON("s0", phase))
 				synctest.Wait()
-				if drains(l) != (phase == "draining") {
-					t.Errorf("%d nodes: %s is not heard at once", nodes, phase)
+				if knowsDrain(l) != (phase == "draining") {
+					t.Errorf("%d nodes: %s is not known at once", nodes, phase)
 				}
 				time.Sleep(150 * time.Millisecond)
 			}
-			before := r.asked()
+			before := fake.callCount()
 			for i := range 250 {
-				r.change(entry("s0", []string{"up", "draining"}[i%2]))
+				fake.updateList(memberJSON("s0", []string{"up", "draining"}[i%2]))
 				time.Sleep(4 * time.Millisecond)
 			}
-			if calls := r.asked() - before; calls > 14 || calls < 9 {
+			if calls := fake.callCount() - before; calls > 14 || calls < 9 {
 				t.Errorf("%d nodes: %d calls in a second of changes", nodes, calls)
 			}
-			r.change(entry("s0", "up"))
+			fake.updateList(memberJSON("s0", "up"))
 			time.Sleep(100 * time.Millisecond)
 			synctest.Wait()
-			if drains(l) {
-				t.Errorf("%d nodes: the last change is not heard within a tenth of a second", nodes)
+			if knowsDrain(l) {
+				t.Errorf("%d nodes: the last change is not known within 0.1 s", nodes)
 			}
 			time.Sleep(150 * time.Millisecond)
-			r.change(entry("s0", "draining"))
+			fake.updateList(memberJSON("s0", "draining"))
 			synctest.Wait()
-			if !drains(l) {
-				t.Errorf("%d nodes: a change after the burst is not heard at once", nodes)
+			if !knowsDrain(l) {
+				t.Errorf("%d nodes: a change after the burst is not known at once", nodes)
 			}
 		}
 	})
 }
 
-// A drain that comes while changes gather counts as told at once, and is heard within the grace where the call that
-// would have told it goes wrong.
-func TestDrainsAreHeardPastAGatheringThatFails(t *testing.T) {
-	for _, how := range []string{"503", "reset", "malformed", "no HTTP"} {
-		t.Run(how, func(t *testing.T) {
-			modes(t, func(t *testing.T, subscribe bool) {
+// A drain that arrives while changes are batched counts as delivered at once, so it must be known within the grace even if
+// the call that would fetch it fails.
+func TestDrainsReachNodeWhenBatchedCallFails(t *testing.T) {
+	for _, fault := range []string{"503", "reset", "malformed", "no HTTP"} {
+		t.Run(fault, func(t *testing.T) {
+			forEachListMode(t, func(t *testing.T, subscribe bool) {
 				for seed := range uint64(10) {
-					r := newRegistry(t)
-					l := follower(t, r, 0, 350, subscribe, seed)
+					fake := newFakeDiscovery(t)
+					l := startListNode(t, fake, 0, 350, subscribe, seed)
 					time.Sleep(20 * time.Second)
-					for range 3 { // each answers a watch, and the next comes at once but for the last
-						r.change(entry("s1", "up"))
+					for range 3 { // each answers a watch; the next call follows at once, except after the last
+						fake.updateList(memberJSON("s1", "up"))
 						synctest.Wait()
 						time.Sleep(10 * time.Millisecond)
 					}
 					time.Sleep(40 * time.Millisecond)
-					r.mu.Lock()
-					n := len(r.calls)
-					r.spoil = func(call int) string {
+					fake.mu.Lock()
+					n := len(fake.calls)
+					fake.faultFor = func(call int) string {
 						if call == n+1 {
-							return how
+							return fault
 						}
 						return ""
 					}
-					r.mu.Unlock()
-					r.change(entry("s0", "draining"))
+					fake.mu.Unlock()
+					fake.updateList(memberJSON("s0", "draining"))
 					drained := time.Now()
 					time.Sleep(drainGrace)
-					if !drains(l) {
-						t.Errorf("seed %d: the drain is not known; calls at %v", seed, ago(r, drained))
+					if !knowsDrain(l) {
+						t.Errorf("seed %d: the drain is not known; calls at %v", seed, callLog(fake, drained))
 					}
 				}
 			})
--- a/internal/node/handover_faults_test.go
+++ b/internal/node/handover_faults_test.go
@@ -14,7 +14,7 @@
 	"time"
 )
 
-// withoutDescriptors runs f while the process may open no further descriptor.
+// withoutDescriptors runs f while the process can't open any more file descriptors.
 func withoutDescriptors(t *testing.T, f func()) {
 	t.Helper()
 	var before syscall.Rlimit
@@ -32,9 +32,9 @@
 	f()
 }
 
-// A process that has no descriptor left can't look whether another lives. It takes nobody for dead meanwhile, and
-// removes nothing.
-func TestNobodyIsDeadForLackOfDescriptors(t *testing.T) {
+// A process that has run out of file descriptors can't check whether another process is running. Until it can, it must
+// not count any process as dead, nor remove any files.
+func TestLackOfDescriptorsMarksNoProcessDead(t *testing.T) {
 	dir := t.TempDir()
 	old, err := join(dir)
 	if err != nil {
@@ -50,32 +50,32 @@
 	}
 	defer next.leave()
 	if !old.hasSuccessor() || !next.predecessorAlive() {
-		t.Fatal("the two don't see each other")
+		t.Fatal("the two processes don't detect each other")
 	}
 	withoutDescriptors(t, func() {
 		if _, err := os.Open(dir); !errors.Is(err, syscall.EMFILE) {
-			t.Fatalf("a descriptor is left: %v", err)
+			t.Fatalf("descriptors are still available: %v", err)
 		}
 		if !old.hasSuccessor() {
-			t.Error("the old process takes its successor for dead")
+			t.Error("the old process counts its successor as dead")
 		}
 		if !next.predecessorAlive() {
-			t.Error("the new process takes the old one for dead")
+			t.Error("the new process counts the old one as dead")
 		}
 		if _, err := livingProcesses(dir); err == nil {
-			t.Error("a look without descriptors reports who lives")
+			t.Error("livingProcesses succeeded without descriptors")
 		}
 	})
-	if left, err := next.readSnapshot(old.id, time.Now()); err != nil || left.Revision != 7 {
-		t.Errorf("the old process's word: %+v, %v", left, err)
+	if saved, err := next.readSnapshot(old.id, time.Now()); err != nil || saved.Revision != 7 {
+		t.Errorf("the old process's snapshot: %+v, %v", saved, err)
 	}
 	if !old.hasSuccessor() || next.predecessor != old.id || !next.predecessorAlive() {
-		t.Error("one of the two counts as dead")
+		t.Error("one of the two processes counts as dead")
 	}
 }
 
-// A folder that fails for a while keeps nobody from hearing, once it works again, what operators said meanwhile.
-func TestStandbyIsNotedOnceTheFolderWorksAgain(t *testing.T) {
+// A change of standby that is made while the folder fails must be recorded for a successor once the folder works again.
+func TestStandbyIsRecordedOnceTheFolderWorksAgain(t *testing.T) {
 	dir := filepath.Join(t.TempDir(), "shared")
 	if err := os.Mkdir(dir, 0o700); err != nil {
 		t.Fatal(err)
@@ -104,14 +104,14 @@
 		if err := old.writeSnapshot(snapshot{Saved: time.Now()}); err != nil {
 			t.Fatal(err)
 		}
-		if left, err := old.readSnapshot(old.id, time.Now()); err != nil || left.Standby != on {
-			t.Errorf("a successor hears of standby %v, %v; want %v", left.Standby, err, on)
+		if saved, err := old.readSnapshot(old.id, time.Now()); err != nil || saved.Standby != on {
+			t.Errorf("a successor reads standby %v, %v; want %v", saved.Standby, err, on)
 		}
 	}
 }
 
-// The word of the process before is as old as its time on the machine's own clock, wherever the wall clock was stepped.
-func TestStepsOfTheWallClockDoNotAgeTheWord(t *testing.T) {
+// The age of a snapshot is measured by the machine's monotonic clock, so steps of the wall clock don't change it.
+func TestWallClockStepsDoNotAgeSnapshots(t *testing.T) {
 	for _, step := range []time.Duration{-time.Hour, -5 * time.Second, 5 * time.Second, time.Hour} {
 		h, err := join(t.TempDir())
 		if err != nil {
@@ -121,18 +121,18 @@
 		if err := h.writeSnapshot(snapshot{Saved: time.Now().Add(-step), Revision: 7}); err != nil {
 			t.Fatal(err)
 		}
-		left, err := h.readSnapshot(h.id, time.Now())
-		if err != nil || left.Revision != 7 {
-			t.Errorf("after a step by %v: %+v, %v", step, left, err)
+		saved, err := h.readSnapshot(h.id, time.Now())
+		if err != nil || saved.Revision != 7 {
+			t.Errorf("after a step by %v: %+v, %v", step, saved, err)
 			continue
 		}
-		if age := time.Since(left.Saved); age < 0 || age > maxSnapshotAge {
-			t.Errorf("after a step by %v it is %v old", step, age)
+		if age := time.Since(saved.Saved); age < 0 || age > maxSnapshotAge {
+			t.Errorf("after a step by %v the snapshot's age is %v", step, age)
 		}
 	}
 }
 
-// A process that can't use the folder at its start takes its part of the limits once the folder works.
+// A process that can't use the folder at its start joins, and shares the limits, once the folder works.
 func TestFolderIsJoinedOnceItWorks(t *testing.T) {
 	dir := filepath.Join(t.TempDir(), "shared")
 	l, _ := startLoop(t, "127.0.0.1:9", func(policy.Time, policy.Event) []policy.Action { return nil })
@@ -140,19 +140,19 @@
 	defer life.stopDraining()
 	life.markServersKnown()
 	life.enterStandby()
-	s := &sharedLimits{loop: l, lifecycle: life, clients: newClients(nil, 100), upstream: l.upstream, clientSockets: 100, serverSockets: 150}
+	limits := &sharedLimits{loop: l, lifecycle: life, clients: newClients(nil, 100), upstream: l.upstream, clientSockets: 100, serverSockets: 150}
 	ctx, cancel := context.WithCancel(t.Context())
 	ended := make(chan struct{})
 	var joined atomic.Pointer[handover]
-	go func() { s.joinLater(ctx, dir, &joined); close(ended) }()
-	defer func() { cancel(); receive(t, "the end", ended) }()
+	go func() { limits.joinLater(ctx, dir, &joined); close(ended) }()
+	defer func() { cancel(); receive(t, "joinLater to return", ended) }()
 	if err := os.Mkdir(dir, 0o700); err != nil {
 		t.Fatal(err)
 	}
 	await(t, "the process to join", func() bool { return joined.Load() != nil })
 	h := joined.Load()
 	await(t, "a snapshot with the standby", func() bool {
-		left, err := h.readSnapshot(h.id, time.Now())
-		return err == nil && left.Standby
+		saved, err := h.readSnapshot(h.id, time.Now())
+		return err == nil && saved.Standby
 	})
 }
--- a/internal/node/late_loop_test.go
+++ b/internal/node/late_loop_test.go
@@ -18,22 +18,23 @@
 	"cobaltward/policy"
 )
 
-// blocking begins the ids of the requests at which lateNode's module stands still.
-const blocking = "blocking"
+// blockingIDPrefix starts the ids of the requests on which stalledNode's module blocks.
+const blockingIDPrefix = "blocking"
 
-// lateNode is a node whose loop stands still in the decision module at each blocking request, until released.
-type lateNode struct {
+// stalledNode is a node whose loop blocks in the decision module on each request with blockingIDPrefix, until released.
+type stalledNode struct {
 	*server
-	module  *script
-	release func()       // lets the loop go on from one blocking request
-	dials   atomic.Int64 // connections asked for
+	module  *scriptedModule
+	release func()       // unblocks the loop from one such request
+	dials   atomic.Int64 // connections dialled
 }
 
-// newLateNode starts one in a synctest bubble; answer is what the module says to all else.
-func newLateNode(t *testing.T, answer func(policy.Time, policy.Event) []policy.Action) *lateNode {
+// newStalledNode starts a stalledNode in a synctest bubble, with its loop blocked. The module responds to all other events
+// with answer.
+func newStalledNode(t *testing.T, answer func(policy.Time, policy.Event) []policy.Action) *stalledNode {
 	t.Helper()
-	c := testConfig(t, knownList("127.0.0.1:9"))
-	n := &lateNode{}
+	c := testConfig(t, memberListJSON("127.0.0.1:9"))
+	n := &stalledNode{}
 	up := newUpstream(c, 100)
 	up.dial = func(context.Context, string, string) (net.Conn, error) {
 		n.dials.Add(1)
@@ -45,8 +46,8 @@
 	}
 	gate := make(chan struct{})
 	n.release = func() { gate <- struct{}{} }
-	n.module = &script{answer: func(now policy.Time, ev policy.Event) []policy.Action {
-		if e, ok := ev.(policy.Request); ok && strings.HasPrefix(e.ID, blocking) {
+	n.module = &scriptedModule{respond: func(now policy.Time, ev policy.Event) []policy.Action {
+		if e, ok := ev.(policy.Request); ok && strings.HasPrefix(e.ID, blockingIDPrefix) {
 			<-gate
 			return nil
 		}
@@ -59,21 +60,22 @@
 	go func() { l.run(ctx, c.Known); close(ended) }()
 	t.Cleanup(func() { close(gate); cancel(); <-ended; up.close() })
 	<-l.initialListApplied
-	n.serve(blocking, long)
+	n.sendRequest(blockingIDPrefix, testTimeout)
 	synctest.Wait()
 	return n
 }
 
-// serve hands the node one request, and returns where its answer comes.
-func (n *lateNode) serve(id string, waits time.Duration) <-chan *httptest.ResponseRecorder {
-	return n.serveUntil(context.Background(), id, waits)
+// sendRequest sends the node one request, and returns the channel that receives its answer.
+func (n *stalledNode) sendRequest(id string, timeout time.Duration) <-chan *httptest.ResponseRecorder {
+	return n.sendRequestContext(context.Background(), id, timeout)
 }
 
-// serveUntil is serve for a client that leaves once ctx ends; its answer is what the handler had written by then.
-func (n *lateNode) serveUntil(ctx context.Context, id string, waits time.Duration) <-chan *httptest.ResponseRecorder {
+// sendRequestContext is sendRequest for a client that disconnects when ctx ends; its answer is what the handler had written
+// by then.
+func (n *stalledNode) sendRequestContext(ctx context.Context, id string, timeout time.Duration) <-chan *httptest.ResponseRecorder {
 	r := httptest.NewRequestWithContext(ctx, http.MethodGet, "/api", nil)
 	for name, v := range map[string]string{"X-Request-Id": id, "X-Class": "read", "X-Tenant": "t",
-		"X-Deadline-Ms": strconv.FormatInt(waits.Milliseconds(), 10)} {
+		"X-Deadline-Ms": strconv.FormatInt(timeout.Milliseconds(), 10)} {
 		r.Header.Set(name, v)
 	}
 	answered := make(chan *httptest.ResponseRecorder, 1)
@@ -90,40 +92,40 @@
 	return answered
 }
 
-// A request that was read gets its final answer within its time though the loop stands still, and the loop makes
-// nothing of it once it goes on.
-func TestARequestIsAnsweredInTimeWhileTheLoopIsLate(t *testing.T) {
+// A request that was read gets its final answer before its deadline though the loop is blocked, and the loop makes no
+// attempt for it once it continues.
+func TestStalledLoopRequestIsAnsweredInTime(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		n := newLateNode(t, sendEach)
-		const waits = 300 * time.Millisecond
+		n := newStalledNode(t, sendOnce)
+		const timeout = 300 * time.Millisecond
 		began := time.Now()
-		answered := n.serve("late", waits)
+		answered := n.sendRequest("late", timeout)
 		select {
 		case w := <-answered:
 			if w.Code != http.StatusServiceUnavailable && w.Code != http.StatusGatewayTimeout {
 				t.Errorf("status %d", w.Code)
 			}
-			if took := time.Since(began); took > waits {
+			if took := time.Since(began); took > timeout {
 				t.Errorf("answered after %v", took)
 			}
-		case <-time.After(waits + invariant.AnswerGrace):
-			t.Error("no answer within its time and the grace")
+		case <-time.After(timeout + invariant.AnswerGrace):
+			t.Error("no answer within the deadline and the grace")
 		}
 		n.release()
 		synctest.Wait()
 		if got := n.dials.Load(); got != 0 {
-			t.Errorf("%d attempts for a request that was answered", got)
+			t.Errorf("%d attempts for a request that had been answered", got)
 		}
 	})
 }
 
-// What discovery has told binds the attempts of all requests that the loop had not taken up by then.
-func TestNothingGoesToADrainHeardWhileTheLoopIsLate(t *testing.T) {
+// An update from discovery applies to the attempts of all requests that the loop had not handled when it was received.
+func TestStalledLoopSendsNothingToDrainingServer(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		n := newLateNode(t, sendEach)
-		n.serve("behind", long)
+		n := newStalledNode(t, sendOnce)
+		n.sendRequest("behind", testTimeout)
 		synctest.Wait()
-		n.serve(blocking+"-again", long) // the attempt is under way while the loop stands still again
+		n.sendRequest(blockingIDPrefix+"-again", testTimeout) // the attempt starts while the loop is blocked again
 		synctest.Wait()
 		drained := discovery.Member{Addr: "127.0.0.1:9", Member: policy.Member{Server: "s0", Zone: "a", Kind: "k", Cell: 1,
 			Weight: 1, Availability: policy.Draining}}
@@ -131,52 +133,53 @@
 		n.release()
 		synctest.Wait()
 		if got := n.dials.Load(); got != 0 {
-			t.Errorf("%d attempts at a server whose drain had been heard", got)
+			t.Errorf("%d attempts at a server whose drain had been received", got)
 		}
 	})
 }
 
-// As the process ends, what is still open is answered at once, also where the loop stands still: the connections are cut
+// When the process ends, open requests are answered at once even if the loop is blocked, since their connections are closed
 // soon after.
-func TestTheEndAnswersWhatIsOpenWhileTheLoopIsLate(t *testing.T) {
+func TestStalledLoopShutdownAnswersOpenRequests(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		n := newLateNode(t, func(policy.Time, policy.Event) []policy.Action { return nil })
-		answered := n.serve("open", long)
+		n := newStalledNode(t, func(policy.Time, policy.Event) []policy.Action { return nil })
+		answered := n.sendRequest("open", testTimeout)
 		synctest.Wait()
 		n.endOpenRequests()
 		select {
 		case w := <-answered:
 			if w.Code != http.StatusServiceUnavailable {
-				t.Errorf("status %d of a request for which nothing was tried", w.Code)
+				t.Errorf("status %d of a request without an attempt", w.Code)
 			}
 		case <-time.After(finalAnswerTime):
-			t.Error("no answer by the time at which connections are cut")
+			t.Error("no answer by the time at which connections are closed")
 		}
 		select {
-		case <-n.serve("new", long):
+		case <-n.sendRequest("new", testTimeout):
 		case <-time.After(finalAnswerTime):
-			t.Error("no answer for a request that came after that")
+			t.Error("no answer for a request that arrived after that")
 		}
 	})
 }
 
-// A client that has left is let go at once, also where the loop stands still: its connection is another's.
-func TestWhoLeavesIsLetGoWhileTheLoopIsLate(t *testing.T) {
+// The handler of a client that has disconnected returns at once even if the loop is blocked, so that its connection's place is
+// free for another client.
+func TestStalledLoopReleasesDisconnectedClient(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		n := newLateNode(t, sendEach)
-		ctx, leave := context.WithCancel(context.Background())
-		ended := n.serveUntil(ctx, "leaver", long)
+		n := newStalledNode(t, sendOnce)
+		ctx, disconnect := context.WithCancel(context.Background())
+		ended := n.sendRequestContext(ctx, "leaver", testTimeout)
 		synctest.Wait()
-		leave()
+		disconnect()
 		select {
 		case <-ended:
 		case <-time.After(time.Second):
-			t.Error("its handler waits for the loop")
+			t.Error("the handler waits for the loop")
 		}
 		n.release()
 		synctest.Wait()
 		if got := n.dials.Load(); got != 0 {
-			t.Errorf("%d attempts for a client that had left", got)
+			t.Errorf("%d attempts for a client that had disconnected", got)
 		}
 	})
 }
--- a/internal/node/loop_test.go
+++ b/internal/node/loop_test.go
@@ -16,26 +16,26 @@
 	"cobaltward/policy"
 )
 
-// script is a module that answers each event as a test says, and keeps what it was told.
-type script struct {
-	mu     sync.Mutex
-	told   []policy.Event
-	answer func(policy.Time, policy.Event) []policy.Action
+// scriptedModule is a decision module that responds to each event with a test's function, and records the events.
+type scriptedModule struct {
+	mu       sync.Mutex
+	received []policy.Event
+	respond  func(policy.Time, policy.Event) []policy.Action
 }
 
-func (s *script) Handle(now policy.Time, ev policy.Event) []policy.Action {
+func (s *scriptedModule) Handle(now policy.Time, ev policy.Event) []policy.Action {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.told = append(s.told, ev)
-	return s.answer(now, ev)
+	s.received = append(s.received, ev)
+	return s.respond(now, ev)
 }
 
-// events lists what the module was told, in short words.
-func (s *script) events() []string {
+// eventSummaries returns a short description of each recorded event.
+func (s *scriptedModule) eventSummaries() []string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	var all []string
-	for _, ev := range s.told {
+	for _, ev := range s.received {
 		switch e := ev.(type) {
 		case policy.MemberList:
 			all = append(all, fmt.Sprintf("list %d", e.Kind))
@@ -52,24 +52,25 @@
 	return all
 }
 
-func (s *script) has(t *testing.T, want ...string) {
+// expectEvents waits for the wanted events, and fails the test if the recorded ones differ.
+func (s *scriptedModule) expectEvents(t *testing.T, want ...string) {
 	t.Helper()
-	await(t, strings.Join(want, ", "), func() bool { return len(s.events()) >= len(want) })
-	if got := s.events(); !reflect.DeepEqual(got, want) {
-		t.Errorf("the module was told\n%q, want\n%q", got, want)
+	await(t, strings.Join(want, ", "), func() bool { return len(s.eventSummaries()) >= len(want) })
+	if got := s.eventSummaries(); !reflect.DeepEqual(got, want) {
+		t.Errorf("the module received\n%q, want\n%q", got, want)
 	}
 }
 
-// startLoop runs a loop around a scripted module.
-func startLoop(t *testing.T, addr string, answer func(policy.Time, policy.Event) []policy.Action) (*loop, *script) {
+// startLoop runs a loop with a scripted module and the server s0 at addr.
+func startLoop(t *testing.T, addr string, answer func(policy.Time, policy.Event) []policy.Action) (*loop, *scriptedModule) {
 	t.Helper()
-	c := testConfig(t, knownList(addr))
+	c := testConfig(t, memberListJSON(addr))
 	up := newUpstream(c, 100)
 	l, err := newLoop(c, clock{start: time.Now()}, up)
 	if err != nil {
 		t.Fatal(err)
 	}
-	s := &script{answer: answer}
+	s := &scriptedModule{respond: answer}
 	l.module = s
 	ctx, cancel := context.WithCancel(context.Background())
 	ended := make(chan struct{})
@@ -82,61 +83,63 @@
 	return l, s
 }
 
-func (l *loop) arriveNow(id string, waits time.Duration) *clientRequest {
+// sendArrival sends the loop a request whose client waits for so long from now on.
+func (l *loop) sendArrival(id string, timeout time.Duration) *clientRequest {
 	x := testClientRequest(http.MethodGet, id, "")
-	x.arrivedAt, x.clientTimeout = l.clock.now(), waits
+	x.arrivedAt, x.clientTimeout = l.clock.now(), timeout
 	l.send(arrival{x})
 	return x
 }
 
-func sends(id string, n int) (all []policy.Action) {
+// sendActions returns n actions that each send the request to s0.
+func sendActions(id string, n int) (all []policy.Action) {
 	for range n {
 		all = append(all, policy.Action{Kind: policy.Send, ID: id, Server: "s0"})
 	}
 	return all
 }
 
-// sendEach is a script that sends each request once, and asks for nothing else: not even that an attempt is called off.
-func sendEach(_ policy.Time, ev policy.Event) []policy.Action {
+// sendOnce responds as a module that sends each request once and requests nothing else, not even cancellations.
+func sendOnce(_ policy.Time, ev policy.Event) []policy.Action {
 	if e, ok := ev.(policy.Request); ok {
-		return sends(e.ID, 1)
+		return sendActions(e.ID, 1)
 	}
 	return nil
 }
 
-// The restored list comes first, and the one outcome of a served request says that it has ended.
+// The module receives the restored list first. The only outcome of a served request reports that the request has ended.
 func TestOrderOfEvents(t *testing.T) {
-	addr := httpServer(t, func(w http.ResponseWriter, _ *http.Request) { fmt.Fprint(w, "yes") })
+	addr := startHTTPServer(t, func(w http.ResponseWriter, _ *http.Request) { fmt.Fprint(w, "yes") })
 	l, s := startLoop(t, addr, func(_ policy.Time, ev policy.Event) []policy.Action {
 		switch e := ev.(type) {
 		case policy.Request:
-			return sends(e.ID, 1)
+			return sendActions(e.ID, 1)
 		case policy.Outcome:
 			return []policy.Action{{Kind: policy.SetTimer, Token: 77, Wait: time.Millisecond}}
 		}
 		return nil
 	})
-	x := l.arriveNow("r1", long)
+	x := l.sendArrival("r1", testTimeout)
 	if a := receive(t, "the answer", x.reply); a.status != 200 || string(a.body) != "yes" {
 		t.Errorf("answer %d %q", a.status, a.body)
 	}
-	s.has(t, "list 2", "request r1", "outcome r1 0 code 0 ended true", "timer 77")
+	s.expectEvents(t, "list 2", "request r1", "outcome r1 0 code 0 ended true", "timer 77")
 }
 
-// Attempts beyond the limit are not made, keep their numbers, and are told as skipped.
+// Attempts beyond the limit are not sent. They keep their numbers and are reported as not sent.
 func TestAttemptsBeyondTheLimitAreSkipped(t *testing.T) {
 	var served sync.WaitGroup
 	served.Add(3)
-	addr := httpServer(t, func(w http.ResponseWriter, _ *http.Request) {
+	addr := startHTTPServer(t, func(w http.ResponseWriter, _ *http.Request) {
 		served.Done()
-		served.Wait() // all that are allowed reach the server before one is answered
+		served.Wait() // all allowed attempts reach the server before any is answered
 		w.WriteHeader(http.StatusInternalServerError)
 	})
 	notSent := make(chan policy.Outcome, 2)
 	l, s := startLoop(t, addr, func(_ policy.Time, ev policy.Event) []policy.Action {
 		switch e := ev.(type) {
 		case policy.Request:
-			return sends(e.ID, 4)
+			return sendActions(e.ID, 4)
 		case policy.Outcome:
 			if e.Code == policy.NotSent {
 				notSent <- e
@@ -144,59 +147,60 @@
 		}
 		return nil
 	})
-	l.arriveNow("r1", long)
-	if o := receive(t, "the skipped attempt", notSent); o.Attempt != 3 || o.Ended {
-		t.Errorf("got %+v", o)
+	l.sendArrival("r1", testTimeout)
+	if o := receive(t, "the outcome of the attempt that was not sent", notSent); o.Attempt != 3 || o.Ended {
+		t.Errorf("outcome %+v, want attempt 3 of a request that has not ended", o)
 	}
-	await(t, "the other outcomes", func() bool { return len(s.events()) == 6 })
+	await(t, "the other outcomes", func() bool { return len(s.eventSummaries()) == 6 })
 }
 
-// After the final answer nothing goes out, and what was out still gets its outcome.
-func TestNothingGoesOutAfterTheAnswer(t *testing.T) {
+// After the final answer no attempt is sent, and attempts in flight still get their outcomes.
+func TestNoAttemptsAfterFinalAnswer(t *testing.T) {
 	arrived := make(chan string, 4)
-	addr := httpServer(t, func(_ http.ResponseWriter, r *http.Request) {
+	addr := startHTTPServer(t, func(_ http.ResponseWriter, r *http.Request) {
 		arrived <- r.Header.Get("X-Request-Id")
 		<-r.Context().Done()
 	})
 	l, s := startLoop(t, addr, func(_ policy.Time, ev policy.Event) []policy.Action {
 		switch e := ev.(type) {
 		case policy.Request:
-			return append(sends(e.ID, 1), policy.Action{Kind: policy.SetTimer, Token: 1, Wait: time.Nanosecond})
+			return append(sendActions(e.ID, 1), policy.Action{Kind: policy.SetTimer, Token: 1, Wait: time.Nanosecond})
 		case policy.Timer:
-			<-arrived // the attempt is out for certain
+			<-arrived // the attempt has reached the server
 			return []policy.Action{{Kind: policy.Fail, ID: "r1"}, {Kind: policy.Refuse, ID: "r1"},
 				{Kind: policy.Send, ID: "r1", Server: "s0"}, {Kind: policy.Cancel, ID: "r1", Attempt: 0}}
 		}
 		return nil
 	})
-	x := l.arriveNow("r1", long)
+	x := l.sendArrival("r1", testTimeout)
 	if a := receive(t, "the answer", x.reply); a.status != http.StatusBadGateway {
 		t.Errorf("status %d, want the first answer", a.status)
 	}
-	s.has(t, "list 2", "request r1", "timer 1", fmt.Sprintf("outcome r1 1 code %d ended true", policy.NotSent),
+	s.expectEvents(t, "list 2", "request r1", "timer 1", fmt.Sprintf("outcome r1 1 code %d ended true", policy.NotSent),
 		fmt.Sprintf("outcome r1 0 code %d ended true", policy.Cancelled))
 	if len(arrived) != 0 || len(x.reply) != 0 {
 		t.Errorf("%d more attempts, %d more answers", len(arrived), len(x.reply))
 	}
 }
 
-func TestBackstopAnswersForASilentModule(t *testing.T) {
+// The deadline timer answers a request for which the module returned no action.
+func TestDeadlineTimerAnswersForSilentModule(t *testing.T) {
 	l, s := startLoop(t, "127.0.0.1:9", func(policy.Time, policy.Event) []policy.Action { return nil })
-	x := l.arriveNow("r1", 200*time.Millisecond)
+	x := l.sendArrival("r1", 200*time.Millisecond)
 	if a := receive(t, "the answer", x.reply); a.status != http.StatusGatewayTimeout {
 		t.Errorf("status %d", a.status)
 	}
-	if end := x.arrivedAt + x.clientTimeout; l.clock.now() > end+long/2 {
-		t.Errorf("answered %v after the client's time", l.clock.now()-end)
+	if end := x.arrivedAt + x.clientTimeout; l.clock.now() > end+testTimeout/2 {
+		t.Errorf("answered %v after the client's deadline", l.clock.now()-end)
 	}
-	s.has(t, "list 2", "request r1", "lapsed r1")
+	s.expectEvents(t, "list 2", "request r1", "lapsed r1")
 }
 
-// An attempt ends within the client's time, whatever the module asked for; the server is told so.
-func TestTimeOutIsClippedToTheDeadline(t *testing.T) {
-	told := make(chan string, 1)
-	addr := httpServer(t, func(_ http.ResponseWriter, r *http.Request) {
-		told <- r.Header.Get("X-Deadline-Ms")
+// An attempt ends before the client's deadline, whatever the module requested, and the server is sent that deadline.
+func TestAttemptTimeoutIsCappedByDeadline(t *testing.T) {
+	deadlines := make(chan string, 1)
+	addr := startHTTPServer(t, func(_ http.ResponseWriter, r *http.Request) {
+		deadlines <- r.Header.Get("X-Deadline-Ms")
 		<-r.Context().Done()
 	})
 	l, _ := startLoop(t, addr, func(now policy.Time, ev policy.Event) []policy.Action {
@@ -208,40 +212,41 @@
 		}
 		return nil
 	})
-	x := l.arriveNow("r1", 2*time.Second)
-	if ms, err := strconv.Atoi(receive(t, "the attempt", told)); err != nil || ms > 2000 {
-		t.Errorf("the server is told of %d ms (%v), though the client waits for 2000", ms, err)
+	x := l.sendArrival("r1", 2*time.Second)
+	if ms, err := strconv.Atoi(receive(t, "the attempt", deadlines)); err != nil || ms > 2000 {
+		t.Errorf("the server's deadline is %d ms (%v), though the client waits for 2000 ms", ms, err)
 	}
 	if a := receive(t, "the answer", x.reply); a.status < 500 {
 		t.Errorf("status %d", a.status)
 	}
 }
 
-func TestDuplicateAndSurplusRequestsAreAnsweredByTheNode(t *testing.T) {
+// The node itself answers requests with a known id, and those beyond the limit on open requests.
+func TestNodeRejectsDuplicateAndExcessRequests(t *testing.T) {
 	l, s := startLoop(t, "127.0.0.1:9", func(policy.Time, policy.Event) []policy.Action { return nil })
-	x := l.arriveNow("r1", long)
-	if a := receive(t, "the answer", l.arriveNow("r1", long).reply); a.status != http.StatusConflict {
+	x := l.sendArrival("r1", testTimeout)
+	if a := receive(t, "the answer", l.sendArrival("r1", testTimeout).reply); a.status != http.StatusConflict {
 		t.Errorf("duplicate: status %d", a.status)
 	}
 	l.send(departure{request: x})
-	if a := receive(t, "the answer", l.arriveNow("r1", long).reply); a.status != http.StatusConflict {
-		t.Errorf("duplicate of one that is over: status %d", a.status)
+	if a := receive(t, "the answer", l.sendArrival("r1", testTimeout).reply); a.status != http.StatusConflict {
+		t.Errorf("duplicate of an ended request: status %d", a.status)
 	}
 	for i := 2; i <= l.maxOpen+1; i++ {
-		l.arriveNow(fmt.Sprint("r", i), long)
+		l.sendArrival(fmt.Sprint("r", i), testTimeout)
 	}
-	if a := receive(t, "the answer", l.arriveNow("more", long).reply); a.status != http.StatusServiceUnavailable || a.retryAfter <= 0 {
-		t.Errorf("surplus: status %d, retry after %v", a.status, a.retryAfter)
+	if a := receive(t, "the answer", l.sendArrival("more", testTimeout).reply); a.status != http.StatusServiceUnavailable || a.retryAfter <= 0 {
+		t.Errorf("beyond the limit: status %d, retry after %v", a.status, a.retryAfter)
 	}
-	if n := len(s.events()); n != 3+l.maxOpen {
-		t.Errorf("the module was told of %d events, want the list, the first request and its end, and %d requests", n, l.maxOpen)
+	if n := len(s.eventSummaries()); n != 3+l.maxOpen {
+		t.Errorf("the module received %d events, want the list, the first request and its end, and %d requests", n, l.maxOpen)
 	}
 }
 
-// As the process ends, what was never tried is refused, and the rest fails.
-func TestFinishEndsWhatIsOpen(t *testing.T) {
+// When the process ends, open requests without an attempt are refused, and the others fail.
+func TestFinishEndsOpenRequests(t *testing.T) {
 	arrived := make(chan struct{})
-	addr := httpServer(t, func(_ http.ResponseWriter, r *http.Request) {
+	addr := startHTTPServer(t, func(_ http.ResponseWriter, r *http.Request) {
 		close(arrived)
 		<-r.Context().Done()
 	})
@@ -249,38 +254,38 @@
 		switch e := ev.(type) {
 		case policy.Request:
 			if e.ID == "tried" {
-				return sends(e.ID, 1)
+				return sendActions(e.ID, 1)
 			}
 		case policy.ClientGone:
 			return []policy.Action{{Kind: policy.Cancel, ID: e.ID}}
 		}
 		return nil
 	})
-	x := l.arriveNow("r1", long)
-	s.has(t, "list 2", "request r1") // the end goes before requests that wait for the loop
-	y := l.arriveNow("tried", long)
+	x := l.sendArrival("r1", testTimeout)
+	s.expectEvents(t, "list 2", "request r1") // finish has priority over requests that wait for the loop
+	y := l.sendArrival("tried", testTimeout)
 	receive(t, "the attempt", arrived)
 	l.send(finish{})
 	if a := receive(t, "the answer", x.reply); a.status != http.StatusServiceUnavailable || a.retryAfter <= 0 {
-		t.Errorf("never tried: status %d, retry after %v", a.status, a.retryAfter)
+		t.Errorf("without an attempt: status %d, retry after %v", a.status, a.retryAfter)
 	}
 	if a := receive(t, "the answer", y.reply); a.status != http.StatusBadGateway {
-		t.Errorf("tried: status %d", a.status)
+		t.Errorf("with an attempt: status %d", a.status)
 	}
-	await(t, "the ends of both and the attempt's", func() bool { return len(s.events()) == 6 })
+	await(t, "the ends of both requests and of the attempt", func() bool { return len(s.eventSummaries()) == 6 })
 	for _, want := range []string{"lapsed r1", "lapsed tried", fmt.Sprintf("outcome tried 0 code %d ended true", policy.Cancelled)} {
-		if !slices.Contains(s.events(), want) {
-			t.Errorf("the module was not told of %q: %q", want, s.events())
+		if !slices.Contains(s.eventSummaries(), want) {
+			t.Errorf("the module did not receive %q: %q", want, s.eventSummaries())
 		}
 	}
 }
 
-// A request that is over leaves nothing behind, however far off its deadline was.
+// A request that has ended leaves no state behind, however distant its deadline is.
 func TestEndedRequestsAreForgotten(t *testing.T) {
 	l := &loop{clock: clock{start: time.Now()}, requests: make(map[string]*request), recentIDs: recentIDs{seed: maphash.MakeSeed()},
 		metrics: newMetrics()}
 	l.requestLog.metrics = l.metrics
-	l.module = &script{answer: func(_ policy.Time, ev policy.Event) []policy.Action {
+	l.module = &scriptedModule{respond: func(_ policy.Time, ev policy.Event) []policy.Action {
 		if e, ok := ev.(policy.Request); ok {
 			return []policy.Action{{Kind: policy.Refuse, ID: e.ID}}
 		}
@@ -290,20 +295,20 @@
 		l.handleEvent(t.Context(), arrival{testClientRequest(http.MethodGet, fmt.Sprint(i), "")})
 	}
 	if len(l.requests) != 0 || len(l.timers) != 0 || l.unanswered != 0 {
-		t.Errorf("%d requests, %d timers, %d answers owed", len(l.requests), len(l.timers), l.unanswered)
+		t.Errorf("%d requests, %d timers and %d unanswered requests are left", len(l.requests), len(l.timers), l.unanswered)
 	}
 }
 
-// Ids are remembered long enough for their copies, and not for ever.
-func TestIDsAreForgotten(t *testing.T) {
+// Ids are kept long enough to detect duplicates, but not forever.
+func TestRecentIDsExpire(t *testing.T) {
 	s := recentIDs{seed: maphash.MakeSeed()}
 	for i := range 20 {
 		now := timeOrigin + policy.Time(i)*idRetention
 		if !s.add(fmt.Sprint("r", i), now) || s.add(fmt.Sprint("r", i), now) {
-			t.Fatal("a new id was taken for a known one, or a known one for new")
+			t.Fatal("a new id counts as known, or a known one as new")
 		}
 		if i > 0 && s.add(fmt.Sprint("r", i-1), now) {
-			t.Errorf("r%d is forgotten within %v", i-1, idRetention)
+			t.Errorf("r%d has expired within %v", i-1, idRetention)
 		}
 	}
 	if len(s.newer)+len(s.older) > 4 {
--- a/internal/node/norace_test.go
+++ b/internal/node/norace_test.go
@@ -2,4 +2,5 @@
 
 package node
 
-const largestFleet = 350
+// maxFleetSize is the largest number of nodes in the tests of a fleet.
+const maxFleetSize = 350
--- a/internal/node/overload_test.go
+++ b/internal/node/overload_test.go
@@ -11,16 +11,16 @@
 	"cobaltward/policy"
 )
 
-// What binds attempts is taken up before what asks for them, and each kind in its order.
-func TestEventsAreTakenByPriority(t *testing.T) {
+// Events that restrict attempts are popped before those that request them, and in FIFO order within a priority.
+func TestEventsArePoppedByPriority(t *testing.T) {
 	q := newEventQueue()
 	first, second := arrival{testClientRequest(http.MethodGet, "1", "")}, arrival{testClientRequest(http.MethodGet, "2", "")}
-	outcome, news, left := attemptEnd{index: 7}, receivedUpdate{sequence: 1}, departure(first)
-	for _, ev := range []any{first, outcome, second, news, left} {
+	outcome, update, left := attemptEnd{index: 7}, receivedUpdate{sequence: 1}, departure(first)
+	for _, ev := range []any{first, outcome, second, update, left} {
 		q.push(ev)
 	}
 	if n := q.length(); n != 5 {
-		t.Errorf("%d events wait, want 5", n)
+		t.Errorf("%d events queued, want 5", n)
 	}
 	var got []string
 	for {
@@ -31,12 +31,12 @@
 		got = append(got, kindOf(ev.event))
 	}
 	if want := []string{"list", "departure", "outcome", "arrival", "arrival"}; !slices.Equal(got, want) {
-		t.Errorf("taken as %q, want %q", got, want)
+		t.Errorf("popped as %q, want %q", got, want)
 	}
 }
 
-// A queue that is never empty keeps its order and does not grow.
-func TestQueueThatIsNeverEmptyStaysSmall(t *testing.T) {
+// A queue that is never empty keeps its order and does not grow without bound.
+func TestNeverEmptyQueueStaysSmall(t *testing.T) {
 	var f fifo
 	for i := range 10 {
 		f.push(queuedEvent{event: i})
@@ -48,56 +48,56 @@
 		}
 	}
 	if c := cap(f.events); c > 8*fifoSlack {
-		t.Errorf("room for %d events, though 10 wait", c)
+		t.Errorf("capacity for %d events, though 10 are queued", c)
 	}
 }
 
-// Requests are turned away once all have waited too long for a while, not after a burst or a stop of the process, and no
-// longer than the queue stands.
-func TestShedderTellsAStandingQueueFromABurst(t *testing.T) {
+// Requests are refused once all of them have waited too long for shedInterval, but not in a burst or after the process was
+// suspended, and only while there is a standing queue.
+func TestShedderDistinguishesStandingQueueFromBurst(t *testing.T) {
 	s := newShedder()
 	now := s.origin
-	took := func(after, waited time.Duration) bool {
+	observe := func(after, waited time.Duration) bool {
 		now = now.Add(after)
 		return s.observe(now, waited)
 	}
-	for range 20 { // a burst, worked off
-		if took(time.Millisecond, 150*time.Millisecond) {
-			t.Fatal("turned away in a burst")
+	for range 20 { // a burst that is being worked off
+		if observe(time.Millisecond, 150*time.Millisecond) {
+			t.Fatal("refused in a burst")
 		}
 	}
-	if took(time.Millisecond, shedTarget) || took(time.Second, 150*time.Millisecond) {
-		t.Error("turned away after a request that did not wait")
+	if observe(time.Millisecond, shedTarget) || observe(time.Second, 150*time.Millisecond) {
+		t.Error("refused after a request that did not wait")
 	}
-	if took(shedInterval-1, 150*time.Millisecond) {
-		t.Error("turned away before the interval was over")
+	if observe(shedInterval-1, 150*time.Millisecond) {
+		t.Error("refused before the interval was over")
 	}
 	if s.shouldRefuse(now, now.Add(-time.Second)) {
-		t.Error("refused at arrival before any was turned away")
+		t.Error("refused on arrival before any other request was refused")
 	}
-	if !took(1, 2*shedTarget) {
-		t.Error("not turned away though all waited for the whole interval")
+	if !observe(1, 2*shedTarget) {
+		t.Error("not refused though all waited for the whole interval")
 	}
 	if !s.shouldRefuse(now, now.Add(-2*shedTarget)) {
-		t.Error("taken in behind a request that has waited too long")
+		t.Error("accepted behind a request that has waited too long")
 	}
 	if s.shouldRefuse(now, time.Time{}) || s.shouldRefuse(now, now.Add(-shedTarget)) {
-		t.Error("refused though nobody waits for long")
+		t.Error("refused on arrival though no request waits for long")
 	}
 	if s.shouldRefuse(now.Add(shedDuration), now) {
-		t.Error("refused long after the last was turned away")
+		t.Error("refused on arrival long after the last refusal")
 	}
-	if took(1, 0) || took(1, 150*time.Millisecond) {
-		t.Error("turned away though the queue does not stand any more")
+	if observe(1, 0) || observe(1, 150*time.Millisecond) {
+		t.Error("refused though there is no standing queue any more")
 	}
 }
 
-// A loop that takes longer for each request than these come apart turns the surplus away soon, says when to come back, and
-// has the others served in their time.
-func TestSlowLoopShedsInsteadOfGrowingLate(t *testing.T) {
+// A loop that takes longer for each request than the time between arrivals refuses the excess soon, with a Retry-After, and
+// decides the other requests in time.
+func TestSlowLoopShedsLoad(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const work, apart, count = 10 * time.Millisecond, 4 * time.Millisecond, 500
-		n := newLateNode(t, func(_ policy.Time, ev policy.Event) []policy.Action {
+		n := newStalledNode(t, func(_ policy.Time, ev policy.Event) []policy.Action {
 			e, ok := ev.(policy.Request)
 			if !ok {
 				return nil
@@ -116,7 +116,7 @@
 		outcomes := make(chan outcome, count)
 		for i := range count {
 			began := time.Now()
-			answered := n.serve("r"+time.Duration(i).String(), time.Second)
+			answered := n.sendRequest("r"+time.Duration(i).String(), time.Second)
 			go func() {
 				w := <-answered
 				outcomes <- outcome{w.Header().Get("Retry-After"), time.Since(began)}
@@ -136,51 +136,52 @@
 			t.Errorf("%d shed and %d decided of %d", shed, decided, count)
 		}
 		if most := shedInterval + 10*shedTarget; slowest > most {
-			t.Errorf("the slowest took %v, want %v at most", slowest, most)
+			t.Errorf("the slowest answer took %v, want %v at most", slowest, most)
 		}
 	})
 }
 
-// A drain that has been heard is not undone by older news that the loop takes up later, and a server that is back is used again.
-func TestOlderNewsDoesNotUndoADrain(t *testing.T) {
-	up := newUpstream(testConfig(t, knownList("127.0.0.1:9")), 100)
-	running := members(t, "127.0.0.1:9")
-	drained := members(t, "127.0.0.1:9")
+// A drain that has been received is not undone by an older update that the loop handles later, and a server that returns is
+// used again.
+func TestOlderUpdateDoesNotUndoDrain(t *testing.T) {
+	up := newUpstream(testConfig(t, memberListJSON("127.0.0.1:9")), 100)
+	running := testMembers(t, "127.0.0.1:9")
+	drained := testMembers(t, "127.0.0.1:9")
 	drained[0].Availability = policy.Draining
-	news := func(place uint64, kind policy.ListKind, m []discovery.Member) receivedUpdate {
-		return receivedUpdate{Update: discovery.Update{Kind: kind, Members: m}, sequence: place}
+	update := func(sequence uint64, kind policy.ListKind, m []discovery.Member) receivedUpdate {
+		return receivedUpdate{Update: discovery.Update{Kind: kind, Members: m}, sequence: sequence}
 	}
 	leaving := func() bool { return up.pools["s0"] == nil || up.isLeaving(up.pools["s0"]) }
-	up.applyList(news(0, policy.ListRestored, running))
+	up.applyList(update(0, policy.ListRestored, running))
 	if leaving() {
-		t.Fatal("a running server is out of use")
+		t.Fatal("a running server is not used")
 	}
-	up.stopLeavingServers(news(2, policy.ListUpdate, drained))
+	up.stopLeavingServers(update(2, policy.ListUpdate, drained))
 	if !leaving() {
-		t.Error("a drain that was heard is not in force")
+		t.Error("a drain that was received is not applied")
 	}
-	up.applyList(news(1, policy.ListReplace, running))
+	up.applyList(update(1, policy.ListReplace, running))
 	if !leaving() {
-		t.Error("older news undid the drain")
+		t.Error("an older update undid the drain")
 	}
-	up.applyList(news(2, policy.ListUpdate, drained))
-	up.stopLeavingServers(news(3, policy.ListUpdate, running))
-	up.applyList(news(3, policy.ListUpdate, running))
+	up.applyList(update(2, policy.ListUpdate, drained))
+	up.stopLeavingServers(update(3, policy.ListUpdate, running))
+	up.applyList(update(3, policy.ListUpdate, running))
 	if leaving() {
-		t.Error("a server that is back is out of use")
+		t.Error("a server that has returned is not used")
 	}
-	up.stopLeavingServers(news(5, policy.ListReplace, nil))
+	up.stopLeavingServers(update(5, policy.ListReplace, nil))
 	if !leaving() {
-		t.Error("a server that a whole list lacks is in use")
+		t.Error("a server that a full list lacks is used")
 	}
-	up.applyList(news(4, policy.ListUpdate, running))
+	up.applyList(update(4, policy.ListUpdate, running))
 	if !leaving() {
-		t.Error("older news undid a whole list")
+		t.Error("an older update undid a full list")
 	}
-	up.applyList(news(5, policy.ListReplace, nil))
-	up.stopLeavingServers(news(6, policy.ListUpdate, running))
-	up.applyList(news(6, policy.ListUpdate, running))
+	up.applyList(update(5, policy.ListReplace, nil))
+	up.stopLeavingServers(update(6, policy.ListUpdate, running))
+	up.applyList(update(6, policy.ListUpdate, running))
 	if leaving() || len(up.stopSequences) != 0 {
-		t.Errorf("out of use after all: %v, %v", leaving(), up.stopSequences)
+		t.Errorf("server is not used: %v, stop sequences %v", leaving(), up.stopSequences)
 	}
 }
--- a/internal/node/queued_test.go
+++ b/internal/node/queued_test.go
@@ -13,28 +13,28 @@
 	"time"
 )
 
-// queuedRequest is the head of a request that stands behind others on its connection.
-func queuedRequest(id, more string) string {
+// pipelinedRequest returns the head of a GET request, with more header lines, for connections with several requests.
+func pipelinedRequest(id, more string) string {
 	return "GET /api HTTP/1.1\r\nHost: a\r\nX-Request-Id: " + id + "\r\nX-Class: read\r\nX-Tenant: t\r\nX-Deadline-Ms: 2000\r\n" + more + "\r\n"
 }
 
-// A request that waits behind another has used up its client's time meanwhile: its server is told what is left.
-func TestQueuedRequestIsToldWhatItsClientHasLeft(t *testing.T) {
-	const first = 100 * time.Millisecond // that the server takes for the first of them
-	told := make(chan int, 2)
-	addr := httpServer(t, func(_ http.ResponseWriter, r *http.Request) {
+// A request that is pipelined behind another loses part of its deadline while it waits. The server must be sent the rest.
+func TestPipelinedRequestForwardsRemainingDeadline(t *testing.T) {
+	const firstTook = 100 * time.Millisecond // the server's time for the first request
+	deadlines := make(chan int, 2)
+	addr := startHTTPServer(t, func(_ http.ResponseWriter, r *http.Request) {
 		ms, _ := strconv.Atoi(r.Header.Get("X-Deadline-Ms"))
-		if told <- ms; r.Header.Get("X-Request-Id") == "r1" {
-			<-time.After(first)
+		if deadlines <- ms; r.Header.Get("X-Request-Id") == "r1" {
+			<-time.After(firstTook)
 		}
 	})
-	node, _ := startNode(t, testConfig(t, knownList(addr)))
+	node, _ := startNode(t, testConfig(t, memberListJSON(addr)))
 	c, err := net.Dial("tcp", node)
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer c.Close()
-	if _, err := io.WriteString(c, queuedRequest("r1", "")+queuedRequest("r2", "")); err != nil {
+	if _, err := io.WriteString(c, pipelinedRequest("r1", "")+pipelinedRequest("r2", "")); err != nil {
 		t.Fatal(err)
 	}
 	in := bufio.NewReader(c)
@@ -44,38 +44,38 @@
 			t.Fatal(resp, err)
 		}
 	}
-	receive(t, "the first request", told)
-	most := (2*time.Second - first).Milliseconds()
-	if ms := receive(t, "the second request", told); int64(ms) > most {
-		t.Errorf("the server of the second is told %d ms, of which %d are left", ms, most)
+	receive(t, "the first request", deadlines)
+	remaining := (2*time.Second - firstTook).Milliseconds()
+	if ms := receive(t, "the second request", deadlines); int64(ms) > remaining {
+		t.Errorf("the server is sent a deadline of %d ms for the second request, of which %d are left", ms, remaining)
 	}
 }
 
-// A client that floods behind its request and leaves is noticed before anything else is sent for it, however much of
-// the flood nobody has read.
-func TestWhoLeavesBehindAFloodIsNoticed(t *testing.T) {
+// A client pipelines a flood of requests behind its first one and disconnects. That must be noticed before another attempt is
+// made for it, however much of the flood is unread.
+func TestDisconnectBehindFloodIsNoticed(t *testing.T) {
 	for _, size := range []int{30 << 10, 100 << 10, 1 << 20} {
 		t.Run(fmt.Sprint(size), func(t *testing.T) {
 			got, proceed := make(chan string, 1000), make(chan struct{})
-			addr := httpServer(t, func(_ http.ResponseWriter, r *http.Request) {
+			addr := startHTTPServer(t, func(_ http.ResponseWriter, r *http.Request) {
 				got <- r.Header.Get("X-Request-Id")
 				<-proceed
 			})
-			node, all := serveNode(t, addr)
+			node, all := startLoopAndListener(t, addr)
 			dialled, err := net.Dial("tcp", node)
 			if err != nil {
 				t.Fatal(err)
 			}
 			defer dialled.Close()
-			if _, err := io.WriteString(dialled, queuedRequest("r1", "")); err != nil {
+			if _, err := io.WriteString(dialled, pipelinedRequest("r1", "")); err != nil {
 				t.Fatal(err)
 			}
 			receive(t, "the attempt", got)
 			var flood strings.Builder
 			for i := 2; flood.Len() < size; i++ {
-				flood.WriteString(queuedRequest(fmt.Sprint("r", i), "X-Pad: "+strings.Repeat("x", 200)+"\r\n"))
+				flood.WriteString(pipelinedRequest(fmt.Sprint("r", i), "X-Pad: "+strings.Repeat("x", 200)+"\r\n"))
 			}
-			_ = dialled.SetWriteDeadline(time.Now().Add(200 * time.Millisecond)) // all of it may find no room
+			_ = dialled.SetWriteDeadline(time.Now().Add(200 * time.Millisecond)) // the socket buffers may not hold all of it
 			_, _ = io.WriteString(dialled, flood.String())
 			dialled.Close()
 			close(proceed)
@@ -87,10 +87,10 @@
 	}
 }
 
-// serveNode runs a loop that knows the server at addr, and serves clients for it.
-func serveNode(t *testing.T, addr string) (node string, all *clientListener) {
+// startLoopAndListener runs a loop that knows the server at addr, and a listener for its clients.
+func startLoopAndListener(t *testing.T, addr string) (node string, all *clientListener) {
 	t.Helper()
-	l, err := newLoop(testConfig(t, knownList(addr)), clock{start: time.Now()}, testUpstream(t, addr))
+	l, err := newLoop(testConfig(t, memberListJSON(addr)), clock{start: time.Now()}, testUpstream(t, addr))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -98,18 +98,18 @@
 	return serveClients(t, l)
 }
 
-// A client that stops in the first bytes of a further request is let go as soon as one that stops in its first, and not
-// only once a connection without a request would be.
-func TestWhoStopsInAFurtherRequestIsLetGo(t *testing.T) {
-	addr := httpServer(t, func(http.ResponseWriter, *http.Request) {})
-	node, _ := startNode(t, testConfig(t, knownList(addr)))
+// A connection whose client stops in the first bytes of a further request is closed as soon as in a first request, and not
+// only after clientIdleTimeout as if it had no request.
+func TestPartialFurtherRequestTimesOut(t *testing.T) {
+	addr := startHTTPServer(t, func(http.ResponseWriter, *http.Request) {})
+	node, _ := startNode(t, testConfig(t, memberListJSON(addr)))
 	for _, part := range []string{"G", "GET", "GET /api HTTP/1.1\r\nHo"} {
 		c, err := net.Dial("tcp", node)
 		if err != nil {
 			t.Fatal(err)
 		}
 		defer c.Close()
-		if _, err := io.WriteString(c, queuedRequest("r"+strconv.Itoa(len(part)), "")); err != nil {
+		if _, err := io.WriteString(c, pipelinedRequest("r"+strconv.Itoa(len(part)), "")); err != nil {
 			t.Fatal(err)
 		}
 		in := bufio.NewReader(c)
@@ -120,46 +120,46 @@
 		if _, err := io.WriteString(c, part); err != nil {
 			t.Fatal(err)
 		}
-		_, _ = io.ReadAll(in) // to the connection's end
+		_, _ = io.ReadAll(in) // until the connection ends
 		if d := time.Since(began); d > clientIdleTimeout/2 {
-			t.Errorf("after %q it is let go after %v", part, d)
+			t.Errorf("%q: the connection is closed after %v", part, d)
 		}
 	}
 }
 
-// A request counts from when it came, also where the process was held up before it read it.
-func TestRequestCountsFromWhenItCame(t *testing.T) {
-	_, dial := testClients(t, 10)
-	theirs, ours := dial()
-	if _, err := io.WriteString(theirs, queuedRequest("r1", "")); err != nil {
+// A request's arrival time is when its first bytes arrived, even if the process was delayed before it read them.
+func TestArrivalTimeOfDelayedRead(t *testing.T) {
+	_, dial := testClientListener(t, 10)
+	client, conn := dial()
+	if _, err := io.WriteString(client, pipelinedRequest("r1", "")); err != nil {
 		t.Fatal(err)
 	}
-	await(t, "the request", func() bool { return hasUnread(ours.TCPConn) })
-	came := time.Now()
-	const heldUp = 50 * time.Millisecond
-	<-time.After(heldUp)
-	if _, err := ours.Read(make([]byte, 4096)); err != nil {
+	await(t, "the request", func() bool { return hasUnread(conn.TCPConn) })
+	arrived := time.Now()
+	const delay = 50 * time.Millisecond
+	<-time.After(delay)
+	if _, err := conn.Read(make([]byte, 4096)); err != nil {
 		t.Fatal(err)
 	}
-	const step = 10 * time.Millisecond // of the system's clock for it
-	if late := ours.arrivedAt().Sub(came); late > step {
-		t.Errorf("it counts from %v after it came", late)
+	const resolution = 10 * time.Millisecond // of the system clock by which the arrival time is computed
+	if late := conn.arrivedAt().Sub(arrived); late > resolution {
+		t.Errorf("the recorded arrival is %v after the actual one", late)
 	}
 }
 
-// A request behind one with a transfer coding is answered as any other: it may have been read together with it.
-func TestRequestsBehindAChunkedOneAreAnswered(t *testing.T) {
-	addr := httpServer(t, func(w http.ResponseWriter, r *http.Request) {
+// A request behind a chunked one is answered as any other, though it may have been read together with it.
+func TestRequestsBehindChunkedRequestAreAnswered(t *testing.T) {
+	addr := startHTTPServer(t, func(w http.ResponseWriter, r *http.Request) {
 		body, _ := io.ReadAll(r.Body)
 		fmt.Fprintf(w, "%s got %s", r.Header.Get("X-Request-Id"), body)
 	})
-	node, _ := startNode(t, testConfig(t, knownList(addr)))
+	node, _ := startNode(t, testConfig(t, memberListJSON(addr)))
 	chunked := func(id, body string) string {
 		return "POST /api HTTP/1.1\r\nHost: a\r\nX-Request-Id: " + id + "\r\nX-Class: pay\r\nX-Tenant: t\r\nX-Deadline-Ms: 2000\r\n" +
 			"Transfer-Encoding: chunked\r\n\r\n" + body
 	}
-	text := queuedRequest("r1", "") + chunked("r2", "2;ext=1\r\nab\r\n1\r\nc\r\n0\r\n\r\n") + queuedRequest("r3", "") +
-		chunked("r4", "0\r\nX-Trailer: 1\r\n\r\n") + chunked("r5", "3\r\nxyz\r\n0\r\n\r\n") + queuedRequest("r6", "")
+	text := pipelinedRequest("r1", "") + chunked("r2", "2;ext=1\r\nab\r\n1\r\nc\r\n0\r\n\r\n") + pipelinedRequest("r3", "") +
+		chunked("r4", "0\r\nX-Trailer: 1\r\n\r\n") + chunked("r5", "3\r\nxyz\r\n0\r\n\r\n") + pipelinedRequest("r6", "")
 	for _, pieces := range []int{1, 7} {
 		c, err := net.Dial("tcp", node)
 		if err != nil {
@@ -188,11 +188,11 @@
 	}
 }
 
-// A chunk's line that fills net/http's buffer to the last byte but one ends as any that is too long: with an error or
-// a close in time.
-func TestEndlessChunkLinesAreLetGo(t *testing.T) {
-	addr := httpServer(t, func(http.ResponseWriter, *http.Request) { t.Error("it reaches a server") })
-	node, _ := startNode(t, testConfig(t, knownList(addr)))
+// A chunk's line that fills net/http's buffer up to its last byte but one is handled as any overlong line: with an error
+// response or a close in time.
+func TestOverlongChunkLinesAreRejected(t *testing.T) {
+	addr := startHTTPServer(t, func(http.ResponseWriter, *http.Request) { t.Error("the request reached a server") })
+	node, _ := startNode(t, testConfig(t, memberListJSON(addr)))
 	open := make(map[string]net.Conn)
 	for _, size := range []int{4090, 4094, 4095, 4096, 5000} {
 		for _, first := range []string{"0", "5"} {
@@ -210,7 +210,7 @@
 		}
 	}
 	for what, c := range open {
-		_ = c.SetReadDeadline(time.Now().Add(long / 3))
+		_ = c.SetReadDeadline(time.Now().Add(testTimeout / 3))
 		got, err := io.ReadAll(c)
 		if os.IsTimeout(err) || len(got) > 0 && !strings.HasPrefix(string(got), "HTTP/1.1 4") {
 			t.Errorf("%s: %.40q, %v", what, got, err)
@@ -218,47 +218,47 @@
 	}
 }
 
-// A connection that was to end, and stays after all because the node takes clients again, counts its further requests
-// from when they come, and reads ahead as before.
-func TestConnectionThatStaysCountsAnew(t *testing.T) {
-	_, dial := testClients(t, 10)
-	theirs, ours := dial()
-	says(t, theirs, ours, queuedRequest("r1", ""))
-	ours.owner.mu.Lock()
-	ours.readAhead.append([]byte("G"), time.Now()) // of a request behind it
-	ours.owner.mu.Unlock()
-	if !ours.mayStayOpen(true) || !ours.closeAfterReadAhead {
-		t.Fatal("what was read is not waited for")
+// A connection that was to be closed may stay open after all because the node accepts clients again. It must then record the
+// arrival times of further requests and read ahead as before.
+func TestKeptConnectionResetsArrivalTime(t *testing.T) {
+	_, dial := testClientListener(t, 10)
+	client, conn := dial()
+	sendAndRead(t, client, conn, pipelinedRequest("r1", ""))
+	conn.owner.mu.Lock()
+	conn.readAhead.append([]byte("G"), time.Now()) // the start of a pipelined request
+	conn.owner.mu.Unlock()
+	if !conn.mayStayOpen(true) || !conn.closeAfterReadAhead {
+		t.Fatal("the connection does not wait for the request that was read ahead")
 	}
-	if ours.presence() != clientPresent {
-		t.Fatal("the client counts as gone")
+	if conn.presence() != clientPresent {
+		t.Fatal("the client counts as disconnected")
 	}
-	ours.owner.mu.Lock()
-	ours.readAheadFullSince = time.Now().Add(-time.Minute) // it is long ago that anybody looked
-	ours.readAhead = readAheadBuffer{}
-	ours.markWaiting()
-	ours.owner.mu.Unlock()
-	if !ours.mayStayOpen(false) || ours.closeAfterReadAhead {
-		t.Error("nothing is read ahead any more")
+	conn.owner.mu.Lock()
+	conn.readAheadFullSince = time.Now().Add(-time.Minute) // the buffer became full long ago
+	conn.readAhead = readAheadBuffer{}
+	conn.markWaiting()
+	conn.owner.mu.Unlock()
+	if !conn.mayStayOpen(false) || conn.closeAfterReadAhead {
+		t.Error("the connection no longer reads ahead")
 	}
 	before := time.Now()
 	read := make(chan error, 1)
 	go func() {
-		_, err := ours.Read(make([]byte, 4096))
+		_, err := conn.Read(make([]byte, 4096))
 		read <- err
 	}()
-	await(t, "a look at the socket", func() bool {
-		ours.owner.mu.Lock()
-		defer ours.owner.mu.Unlock()
-		return ours.readAheadFullSince.IsZero()
+	await(t, "a read of the empty socket", func() bool {
+		conn.owner.mu.Lock()
+		defer conn.owner.mu.Unlock()
+		return conn.readAheadFullSince.IsZero()
 	})
-	if _, err := io.WriteString(theirs, queuedRequest("r2", "")); err != nil {
+	if _, err := io.WriteString(client, pipelinedRequest("r2", "")); err != nil {
 		t.Fatal(err)
 	}
 	if err := receive(t, "the request", read); err != nil {
 		t.Fatal(err)
 	}
-	if early := before.Sub(ours.arrivedAt()); early > time.Second {
-		t.Errorf("the request counts from %v before it was written", early)
+	if early := before.Sub(conn.arrivedAt()); early > time.Second {
+		t.Errorf("the recorded arrival is %v before the request was written", early)
 	}
 }
--- a/internal/node/race_test.go
+++ b/internal/node/race_test.go
@@ -2,5 +2,5 @@
 
 package node
 
-// The race detector ends the program where hundreds of nodes share one bubble's clock.
-const largestFleet = 100
+// maxFleetSize is smaller here: the race detector ends the program if hundreds of nodes share one bubble's clock.
+const maxFleetSize = 100
--- a/internal/node/readiness_test.go
+++ b/internal/node/readiness_test.go
@@ -11,9 +11,10 @@
 	"cobaltward/policy"
 )
 
-// A node that knows no server is not ready before it knows one, or before a node without discovery has to be.
+// A node without a running server becomes ready when it learns of one, or after readyTimeout, so that a node without
+// discovery becomes ready too.
 func TestReadinessWaitsForAServer(t *testing.T) {
-	for _, hears := range []bool{false, true} {
+	for _, listsServer := range []bool{false, true} {
 		synctest.Test(t, func(t *testing.T) {
 			time.Sleep(time.Nanosecond)
 			c := testConfig(t, `{"revision":1,"complete":true,"members":[]}`)
@@ -22,26 +23,26 @@
 				t.Fatal(err)
 			}
 			ctx, cancel := context.WithCancel(context.Background())
-			var parts sync.WaitGroup
-			parts.Go(func() { l.run(ctx, c.Known) })
-			defer parts.Wait()
+			var wg sync.WaitGroup
+			wg.Go(func() { l.run(ctx, c.Known) })
+			defer wg.Wait()
 			defer cancel()
 			began, ready := time.Now(), make(chan bool, 1)
 			go func() { ready <- l.awaitServers(ctx) }()
 			time.Sleep(time.Second)
-			l.send(discovery.Update{Kind: policy.ListUpdate, Revision: 2}) // with nobody in it
-			l.send(discovery.Update{Kind: policy.ListUpdate, Revision: 3, Members: []discovery.Member{phased(t, "127.0.0.1:9", policy.Draining)}})
+			l.send(discovery.Update{Kind: policy.ListUpdate, Revision: 2}) // without members
+			l.send(discovery.Update{Kind: policy.ListUpdate, Revision: 3, Members: []discovery.Member{memberWithAvailability(t, "127.0.0.1:9", policy.Draining)}})
 			synctest.Wait()
 			if len(ready) > 0 {
 				t.Fatal("ready without a server")
 			}
-			if hears {
-				l.send(discovery.Update{Kind: policy.ListUpdate, Revision: 4, Members: []discovery.Member{phased(t, "127.0.0.1:9", policy.Running)}})
+			if listsServer {
+				l.send(discovery.Update{Kind: policy.ListUpdate, Revision: 4, Members: []discovery.Member{memberWithAvailability(t, "127.0.0.1:9", policy.Running)}})
 			}
-			if <-ready != hears {
-				t.Errorf("a server is known: %v", !hears)
+			if <-ready != listsServer {
+				t.Errorf("awaitServers reports a server: %v", !listsServer)
 			}
-			if want := map[bool]time.Duration{false: readyTimeout, true: time.Second}[hears]; time.Since(began) != want {
+			if want := map[bool]time.Duration{false: readyTimeout, true: time.Second}[listsServer]; time.Since(began) != want {
 				t.Errorf("ready after %v, want %v", time.Since(began), want)
 			}
 		})
--- a/internal/node/rules_test.go
+++ b/internal/node/rules_test.go
@@ -8,26 +8,27 @@
 	"cobaltward/policy"
 )
 
-// What the module asks for against the rules is not done: it is counted, and the module is told that it was not made.
-func TestForbiddenStepsOfTheModuleAreNotMade(t *testing.T) {
-	got := make(chan string, 10)
-	addr := httpServer(t, func(w http.ResponseWriter, r *http.Request) {
-		got <- r.Header.Get("X-Request-Id")
+// An action of the module that violates an invariant is not performed: it is counted, and the module is told that no
+// attempt was made.
+func TestForbiddenModuleActionsAreNotPerformed(t *testing.T) {
+	received := make(chan string, 10)
+	addr := startHTTPServer(t, func(w http.ResponseWriter, r *http.Request) {
+		received <- r.Header.Get("X-Request-Id")
 		w.WriteHeader(http.StatusInternalServerError) // it may have run
 	})
 	l, _ := startLoop(t, addr, func(_ policy.Time, ev policy.Event) []policy.Action {
 		switch e := ev.(type) {
 		case policy.Request:
-			return sends(e.ID, 1)
+			return sendActions(e.ID, 1)
 		case policy.Outcome:
 			if e.Code == policy.ServerError {
-				return append(sends(e.ID, 1), policy.Action{Kind: policy.Refuse, ID: e.ID})
+				return append(sendActions(e.ID, 1), policy.Action{Kind: policy.Refuse, ID: e.ID})
 			}
 		}
 		return nil
 	})
 	x := testClientRequest(http.MethodPost, "r1", "")
-	x.req.Class = "pay" // never to be repeated
+	x.req.Class = "pay" // requests of this class must never be repeated
 	x.arrivedAt = l.clock.now()
 	l.send(arrival{x})
 	if a := receive(t, "the answer", x.reply); a.status != http.StatusBadGateway {
@@ -37,7 +38,7 @@
 		denied, _ := l.monitor.Counts()
 		t.Errorf("denied %v", denied)
 	}
-	if receive(t, "the first attempt", got); len(got) > 0 {
-		t.Error("it was sent again")
+	if receive(t, "the first attempt", received); len(received) > 0 {
+		t.Error("the request was sent again")
 	}
 }
--- a/internal/node/scale_test.go
+++ b/internal/node/scale_test.go
@@ -13,10 +13,11 @@
 	"cobaltward/policy"
 )
 
-// many is how many servers, and how many nodes, the operators may have at least.
-const many = 1024
+// largeSiteSize is a number of servers, and of nodes, that must be supported.
+const largeSiteSize = 1024
 
-func manyMembers(n int) []discovery.Member {
+// generateMembers returns n servers with distinct ids and addresses, spread over zones and cells.
+func generateMembers(n int) []discovery.Member {
 	all := make([]discovery.Member, n)
 	for i := range all {
 		all[i] = discovery.Member{Addr: fmt.Sprintf("127.1.%d.%d:9000", i/256, i%256), Member: policy.Member{
@@ -25,11 +26,11 @@
 	return all
 }
 
-// What many servers and tenants leave to a successor is written and read whole.
-func TestManyServersAreHandedOver(t *testing.T) {
-	l := manyLoop(t, many)
-	l.handleList(t.Context(), receivedUpdate{Update: discovery.Update{Kind: policy.ListReplace, Members: manyMembers(many), Revision: 5}})
-	for i := range many {
+// A snapshot with many servers and tenants is written and read completely.
+func TestSnapshotOfManyServers(t *testing.T) {
+	l := largeSiteLoop(t, largeSiteSize)
+	l.handleList(t.Context(), receivedUpdate{Update: discovery.Update{Kind: policy.ListReplace, Members: generateMembers(largeSiteSize), Revision: 5}})
+	for i := range largeSiteSize {
 		l.module.Handle(l.clock.now(), policy.Request{ID: fmt.Sprint("r", i), Class: "read", Tenant: fmt.Sprint("tenant ", i), ExpiresIn: time.Second})
 	}
 	h, err := join(t.TempDir())
@@ -38,51 +39,50 @@
 	}
 	defer h.leave()
 	now := time.Now()
-	left := snapshot{Saved: now, Revision: l.listRevision, Members: slices.Collect(maps.Values(l.members)),
+	saved := snapshot{Saved: now, Revision: l.listRevision, Members: slices.Collect(maps.Values(l.members)),
 		Policy: l.module.(*policy.Balancer).Snapshot(l.clock.now())}
-	if err := h.writeSnapshot(left); err != nil {
+	if err := h.writeSnapshot(saved); err != nil {
 		t.Fatal(err)
 	}
 	got, err := h.readSnapshot(h.id, now)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if len(got.Members) != many || len(got.Policy.Servers) != many || len(got.Policy.Buckets) < many {
-		t.Errorf("%d members, %d servers and %d buckets are handed over, want %d of each", len(got.Members),
-			len(got.Policy.Servers), len(got.Policy.Buckets), many)
+	if len(got.Members) != largeSiteSize || len(got.Policy.Servers) != largeSiteSize || len(got.Policy.Buckets) < largeSiteSize {
+		t.Errorf("the snapshot has %d members, %d servers and %d buckets, want %d of each", len(got.Members),
+			len(got.Policy.Servers), len(got.Policy.Buckets), largeSiteSize)
 	}
 }
 
-// A server in the place of another, at its address, and all of them at once.
-func TestManyServersChangePlaces(t *testing.T) {
-	l := manyLoop(t, many)
-	old, next := manyMembers(many), manyMembers(2 * many)[many:]
+// All servers are replaced at once, each by a new one at the address of another.
+func TestManyServersSwapAddresses(t *testing.T) {
+	l := largeSiteLoop(t, largeSiteSize)
+	old, next := generateMembers(largeSiteSize), generateMembers(2 * largeSiteSize)[largeSiteSize:]
 	for i := range next {
-		next[i].Addr, next[i].UpSince = old[many-1-i].Addr, 1
+		next[i].Addr, next[i].UpSince = old[largeSiteSize-1-i].Addr, 1
 	}
 	l.upstream.applyNewestList(discovery.Update{Kind: policy.ListReplace, Members: old})
 	l.upstream.applyNewestList(discovery.Update{Kind: policy.ListUpdate, Members: next})
 	for _, m := range old {
 		if l.upstream.pools[m.Server] != nil {
-			t.Fatalf("%s is still at an address that another has", m.Server)
+			t.Fatalf("%s still has a pool at an address that now belongs to another server", m.Server)
 		}
 	}
 	for _, m := range next {
 		if p := l.upstream.pools[m.Server]; p == nil || p.addr != m.Addr {
-			t.Fatalf("%s is not at %s", m.Server, m.Addr)
+			t.Fatalf("%s has no pool at %s", m.Server, m.Addr)
 		}
 	}
-	l.upstream.applyNewestList(discovery.Update{Kind: policy.ListUpdate, Members: old}) // late, of those that started before
-	if len(l.upstream.pools) != many || len(l.upstream.serverByAddr) != many {
-		t.Errorf("%d pools at %d addresses, want %d", len(l.upstream.pools), len(l.upstream.serverByAddr), many)
+	l.upstream.applyNewestList(discovery.Update{Kind: policy.ListUpdate, Members: old}) // a late update about servers that started earlier
+	if len(l.upstream.pools) != largeSiteSize || len(l.upstream.serverByAddr) != largeSiteSize {
+		t.Errorf("%d pools at %d addresses, want %d", len(l.upstream.pools), len(l.upstream.serverByAddr), largeSiteSize)
 	}
 }
 
-// Sweeps and evictions go through the pools that have idle connections, however many servers there are, and through
-// all of these.
-func TestOnlyPoolsThatRestAreLookedAt(t *testing.T) {
-	l := manyLoop(t, many)
-	u, list, rng := l.upstream, manyMembers(many), rand.New(rand.NewPCG(1, 2))
+// Sweeps and evictions visit exactly the pools that have idle connections, however many servers there are.
+func TestIdlePoolsMatchPools(t *testing.T) {
+	l := largeSiteLoop(t, largeSiteSize)
+	u, list, rng := l.upstream, generateMembers(largeSiteSize), rand.New(rand.NewPCG(1, 2))
 	u.applyNewestList(discovery.Update{Kind: policy.ListReplace, Members: list})
 	u.maxOpen = 40
 	evicted, swept := 0, 0
@@ -91,7 +91,7 @@
 		switch p := u.pools[id]; rng.IntN(20) {
 		case 0:
 			u.closeIdle(id)
-		case 1: // its process is another from now on
+		case 1: // the server has restarted
 			for j := range list {
 				if list[j].Server == id {
 					list[j].UpSince++
@@ -106,7 +106,7 @@
 			}
 		case 3:
 			_, _, _, _ = u.reserveConn(id)
-			u.openConns = 0 // as if what it reserved had ended
+			u.openConns = 0 // as if the reserved connections had been closed
 			for _, p := range u.pools {
 				u.openConns += len(p.idle)
 			}
@@ -126,7 +126,7 @@
 				}
 				for _, p := range u.idlePools {
 					if !p.idle[0].lastUsed.After(oldest) {
-						t.Fatal("another one than the oldest was evicted")
+						t.Fatal("the evicted connection was not the oldest")
 					}
 				}
 				evicted++
@@ -134,56 +134,56 @@
 			u.addOpen(1)
 			u.release(&serverConn{TCPConn: new(net.TCPConn), pool: p}, id, true)
 		}
-		resting := 0
+		idlePools := 0
 		for _, p := range u.pools {
 			if len(p.idle) > 0 {
-				resting++
+				idlePools++
 				if p.heapPosition == 0 || u.idlePools[p.heapPosition-1] != p {
-					t.Fatalf("step %d: a pool that rests is not looked at", i)
+					t.Fatalf("step %d: a pool with idle connections is not in idlePools", i)
 				}
 			}
 		}
-		if len(u.idlePools) != resting {
-			t.Fatalf("step %d: %d pools are looked at, %d rest", i, len(u.idlePools), resting)
+		if len(u.idlePools) != idlePools {
+			t.Fatalf("step %d: %d pools in idlePools, %d have idle connections", i, len(u.idlePools), idlePools)
 		}
 	}
 	if evicted < 100 || swept < 100 {
-		t.Errorf("%d were evicted and %d swept", evicted, swept)
+		t.Errorf("%d connections were evicted and %d swept, want at least 100 of each", evicted, swept)
 	}
 }
 
 func BenchmarkSweep(b *testing.B) {
-	l := manyLoop(b, 2500)
-	l.upstream.applyNewestList(discovery.Update{Kind: policy.ListReplace, Members: manyMembers(39_000)})
+	l := largeSiteLoop(b, 2500)
+	l.upstream.applyNewestList(discovery.Update{Kind: policy.ListReplace, Members: generateMembers(39_000)})
 	for b.Loop() {
 		l.upstream.sweep(time.Now())
 	}
 }
 
 func BenchmarkLists(b *testing.B) {
-	for _, n := range []int{many / 4, many} {
+	for _, n := range []int{largeSiteSize / 4, largeSiteSize} {
 		b.Run(fmt.Sprint("replace ", n), func(b *testing.B) {
-			l := manyLoop(b, n)
-			lists := [2]discovery.Update{{Kind: policy.ListReplace, Members: manyMembers(n)}, {Kind: policy.ListReplace, Members: manyMembers(2 * n)[n:]}}
+			l := largeSiteLoop(b, n)
+			lists := [2]discovery.Update{{Kind: policy.ListReplace, Members: generateMembers(n)}, {Kind: policy.ListReplace, Members: generateMembers(2 * n)[n:]}}
 			for i := 0; b.Loop(); i++ {
 				l.handleList(b.Context(), receivedUpdate{Update: lists[i%2]})
 			}
 		})
-		b.Run(fmt.Sprint("one drains ", n), func(b *testing.B) {
-			l := manyLoop(b, n)
-			l.handleList(b.Context(), receivedUpdate{Update: discovery.Update{Kind: policy.ListReplace, Members: manyMembers(n)}})
+		b.Run(fmt.Sprint("drain ", n), func(b *testing.B) {
+			l := largeSiteLoop(b, n)
+			l.handleList(b.Context(), receivedUpdate{Update: discovery.Update{Kind: policy.ListReplace, Members: generateMembers(n)}})
 			for i := 0; b.Loop(); i++ {
-				m := manyMembers(1)
+				m := generateMembers(1)
 				m[0].Availability = policy.Availability(i % 2)
 				l.handleList(b.Context(), receivedUpdate{Update: discovery.Update{Kind: policy.ListUpdate, Members: m}})
 			}
 		})
-		b.Run(fmt.Sprint("word to a successor ", n), func(b *testing.B) {
-			l := manyLoop(b, n)
-			l.handleList(b.Context(), receivedUpdate{Update: discovery.Update{Kind: policy.ListReplace, Members: manyMembers(n)}})
+		b.Run(fmt.Sprint("snapshot ", n), func(b *testing.B) {
+			l := largeSiteLoop(b, n)
+			l.handleList(b.Context(), receivedUpdate{Update: discovery.Update{Kind: policy.ListReplace, Members: generateMembers(n)}})
 			for b.Loop() {
-				left := snapshot{Members: manyMembers(n), Policy: l.module.(*policy.Balancer).Snapshot(l.clock.now())}
-				raw, err := encodeSnapshot(left)
+				saved := snapshot{Members: generateMembers(n), Policy: l.module.(*policy.Balancer).Snapshot(l.clock.now())}
+				raw, err := encodeSnapshot(saved)
 				if err != nil {
 					b.Fatal(err)
 				}
@@ -191,8 +191,8 @@
 			}
 		})
 		b.Run(fmt.Sprint("request ", n), func(b *testing.B) {
-			l := manyLoop(b, n)
-			l.handleList(b.Context(), receivedUpdate{Update: discovery.Update{Kind: policy.ListReplace, Members: manyMembers(n)}})
+			l := largeSiteLoop(b, n)
+			l.handleList(b.Context(), receivedUpdate{Update: discovery.Update{Kind: policy.ListReplace, Members: generateMembers(n)}})
 			for i := 0; b.Loop(); i++ {
 				id := fmt.Sprint("r", i)
 				now := l.clock.now()
@@ -206,7 +206,8 @@
 	}
 }
 
-func manyLoop(tb testing.TB, nodes int) *loop {
+// largeSiteLoop returns a loop of one of so many nodes. It isn't run.
+func largeSiteLoop(tb testing.TB, nodes int) *loop {
 	tb.Helper()
 	c, err := ParseConfig([]byte(fmt.Sprintf(`{"name":"n0","listen":"127.0.0.1:0","discovery":"127.0.0.1:9","seed":"1f",
 		"limits":{"cores":1,"memory_mb":32,"sockets":256},"known":{"revision":1,"members":[]},"settings":%s}`, testSettings)))
--- a/internal/node/testing_test.go
+++ b/internal/node/testing_test.go
@@ -17,8 +17,8 @@
 	"cobaltward/policy"
 )
 
-// long is more than any step of a test takes; nothing waits for it unless the test fails.
-const long = 30 * time.Second
+// testTimeout is longer than any step of a test takes; it expires only if the test fails.
+const testTimeout = 30 * time.Second
 
 const testSettings = `{"position":0,"groupSize":1,"zone":"a",
 	"services":[{"name":"read","aim":4000,"deadline":9000,"repeat":"free"},
@@ -40,27 +40,27 @@
 	return c
 }
 
-// knownList is a complete list of the servers at the addresses, named s0, s1 and so on.
-func knownList(addrs ...string) string {
+// memberListJSON returns a complete member list in JSON: one server per address, with the ids s0, s1 and so on.
+func memberListJSON(addrs ...string) string {
 	var entries []string
-	for i, a := range addrs {
+	for i, addr := range addrs {
 		entries = append(entries, fmt.Sprintf(
-			`{"id":"s%d","host_port":%q,"locality":"a","flavor":"k","cell":1,"phase":"up","size":1,"up_since_ms":0}`, i, a))
+			`{"id":"s%d","host_port":%q,"locality":"a","flavor":"k","cell":1,"phase":"up","size":1,"up_since_ms":0}`, i, addr))
 	}
 	return fmt.Sprintf(`{"revision":7,"complete":true,"members":[%s]}`, strings.Join(entries, ","))
 }
 
-func members(t *testing.T, addrs ...string) []discovery.Member {
+func testMembers(t *testing.T, addrs ...string) []discovery.Member {
 	t.Helper()
-	l, err := discovery.ParseList([]byte(knownList(addrs...)))
+	l, err := discovery.ParseList([]byte(memberListJSON(addrs...)))
 	if err != nil {
 		t.Fatal(err)
 	}
 	return l.Members
 }
 
-// rawServer runs a server of one's own at the level of the connection.
-func rawServer(t *testing.T, serve func(net.Conn, *bufio.Reader)) string {
+// startTCPServer starts a server that handles each accepted connection with serve.
+func startTCPServer(t *testing.T, serve func(net.Conn, *bufio.Reader)) string {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -82,8 +82,8 @@
 	return ln.Addr().String()
 }
 
-// swallow reads a request to its last byte.
-func swallow(r *bufio.Reader) bool {
+// discardRequest reads and discards a whole request, and reports whether it succeeded.
+func discardRequest(r *bufio.Reader) bool {
 	req, err := http.ReadRequest(r)
 	if err != nil {
 		return false
@@ -92,7 +92,7 @@
 	return err == nil
 }
 
-func httpServer(t *testing.T, h http.HandlerFunc) string {
+func startHTTPServer(t *testing.T, h http.HandlerFunc) string {
 	t.Helper()
 	s := httptest.NewServer(h)
 	t.Cleanup(s.Close)
@@ -100,18 +100,18 @@
 }
 
 func testClientRequest(method, id string, body string) *clientRequest {
-	x := &clientRequest{req: policy.Request{ID: id, Class: "read", Tenant: "t"}, method: method,
+	r := &clientRequest{req: policy.Request{ID: id, Class: "read", Tenant: "t"}, method: method,
 		url: &url.URL{Path: "/api", RawQuery: "q=a%20b"}, host: "origin.svc", body: []byte(body),
-		arrivedAt: timeOrigin, clientTimeout: long}
-	x.setUp()
+		arrivedAt: timeOrigin, clientTimeout: testTimeout}
+	r.setUp()
 	if method == http.MethodPost {
-		x.idempotencyKey = "k-" + id
+		r.idempotencyKey = "k-" + id
 	}
-	return x
+	return r
 }
 
-// startNode runs a whole node, and returns its address and a function that stops it as SIGTERM does
-// and returns what Run did.
+// startNode runs a whole node, waits until it is ready, and returns its address and a function that stops it as
+// SIGTERM does and returns the result of Run.
 func startNode(t *testing.T, c Config) (addr string, stop func() error) {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
@@ -119,8 +119,8 @@
 		t.Fatal(err)
 	}
 	ctx, cancel := context.WithCancel(context.Background())
-	ended := make(chan error, 1)
-	go func() { ended <- Run(ctx, c, Listeners{Clients: ln}, nil) }()
+	runResult := make(chan error, 1)
+	go func() { runResult <- Run(ctx, c, Listeners{Clients: ln}, nil) }()
 	stopped := false
 	stop = func() error {
 		if stopped {
@@ -129,10 +129,10 @@
 		stopped = true
 		cancel()
 		select {
-		case err := <-ended:
+		case err := <-runResult:
 			return err
-		case <-time.After(long):
-			return fmt.Errorf("the node did not end")
+		case <-time.After(testTimeout):
+			return fmt.Errorf("the node did not stop in time")
 		}
 	}
 	t.Cleanup(func() {
@@ -152,27 +152,30 @@
 	return addr, stop
 }
 
+// await polls until the condition holds, and fails the test after testTimeout.
 func await(t *testing.T, what string, ok func() bool) {
 	t.Helper()
-	for end := time.Now().Add(long); !ok(); time.Sleep(2 * time.Millisecond) {
+	for end := time.Now().Add(testTimeout); !ok(); time.Sleep(2 * time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatalf("waited in vain for %s", what)
+			t.Fatalf("timed out waiting for %s", what)
 		}
 	}
 }
 
+// receive returns the next value from a channel, and fails the test after testTimeout.
 func receive[T any](t *testing.T, what string, from <-chan T) T {
 	t.Helper()
 	select {
 	case v := <-from:
 		return v
-	case <-time.After(long):
-		t.Fatalf("waited in vain for %s", what)
+	case <-time.After(testTimeout):
+		t.Fatalf("timed out waiting for %s", what)
 		panic("unreachable")
 	}
 }
 
-// newRequest is one as clients send it; headers are pairs, and an empty value takes one out.
+// newRequest returns a request as clients send it. The headers are pairs of name and value; an empty value removes the
+// header.
 func newRequest(t *testing.T, addr, method, class, id, body string, headers ...string) *http.Request {
 	t.Helper()
 	req, err := http.NewRequestWithContext(t.Context(), method, "http://"+addr+"/api/x?q=a%20b", strings.NewReader(body))
@@ -194,7 +197,7 @@
 	return req
 }
 
-func do(t *testing.T, req *http.Request) (*http.Response, string) {
+func doRequest(t *testing.T, req *http.Request) (*http.Response, string) {
 	t.Helper()
 	resp, err := (&http.Client{Transport: &http.Transport{DisableKeepAlives: true}}).Do(req)
 	if err != nil {
