--- a/policy/rules_test.go
+++ b/policy/rules_test.go
@@ -13,8 +13,8 @@
 
 const ms = time.Millisecond
 
-// site is a small deployment with one class of each kind.
-func site(nodes int) Settings {
+// testSettings returns the settings of a small deployment, with classes for every kind of Repeat and Group.
+func testSettings(nodes int) Settings {
 	return Settings{
 		Nodes: nodes, Zone: "a",
 		Classes: []Class{
@@ -31,6 +31,7 @@
 	}
 }
 
+// members returns n running servers, spread over two zones, three kinds and four cells.
 func members(n int) []Member {
 	var list []Member
 	for i := range n {
@@ -40,7 +41,8 @@
 	return list
 }
 
-func start(t *testing.T, set Settings, list []Member) *Balancer {
+// newTestBalancer returns a balancer that was given list as the last list seen.
+func newTestBalancer(t *testing.T, set Settings, list []Member) *Balancer {
 	t.Helper()
 	b, err := New(set, 0, 1)
 	if err != nil {
@@ -50,35 +52,37 @@
 	return b
 }
 
-// of returns the actions of one kind.
-func of(acts []Action, kind ActionKind) []Action {
-	var out []Action
+// actionsOfKind returns the actions of one kind.
+func actionsOfKind(acts []Action, kind ActionKind) []Action {
+	var matching []Action
 	for _, a := range acts {
 		if a.Kind == kind {
-			out = append(out, a)
+			matching = append(matching, a)
 		}
 	}
-	return out
+	return matching
 }
 
-func ask(id, class string) Request {
+// newRequest returns a request of tenant t that expires after 600 ms.
+func newRequest(id, class string) Request {
 	return Request{ID: id, Class: class, Tenant: "t", ExpiresIn: 600 * ms}
 }
 
+// sentTo returns the server of the only Send action in acts.
 func sentTo(t *testing.T, acts []Action) string {
 	t.Helper()
-	s := of(acts, Send)
-	if len(s) != 1 {
-		t.Fatalf("want one send, got %+v", acts)
+	sends := actionsOfKind(acts, Send)
+	if len(sends) != 1 {
+		t.Fatalf("got %+v, want one send", acts)
 	}
-	return s[0].Server
+	return sends[0].Server
 }
 
-func TestSettingsThatMakeNoSense(t *testing.T) {
+func TestInvalidSettingsAreRejected(t *testing.T) {
 	nan := math.NaN()
-	for _, c := range []struct {
-		names string // what the error must name
-		spoil func(*Settings)
+	for _, tc := range []struct {
+		wantText string // must be part of the error
+		modify   func(*Settings)
 	}{
 		{"classes", func(s *Settings) { s.Classes = nil }},
 		{"deadline", func(s *Settings) { s.Classes[0].Deadline = -1 }},
@@ -106,31 +110,32 @@
 		{"max retry-after", func(s *Settings) { s.Allowed.MaxRetryAfter = -1 }},
 		{"idle", func(s *Settings) { s.Allowed.ConnIdle = -1 }},
 	} {
-		set := site(2)
-		c.spoil(&set)
-		if _, err := New(set, 0, 1); err == nil || !strings.Contains(err.Error(), c.names) {
-			t.Errorf("got %v, want an error that names %q", err, c.names)
+		set := testSettings(2)
+		tc.modify(&set)
+		if _, err := New(set, 0, 1); err == nil || !strings.Contains(err.Error(), tc.wantText) {
+			t.Errorf("got %v, want an error that contains %q", err, tc.wantText)
 		}
 	}
 }
 
-// A bound class goes to its servers only, at every attempt, even when they are all out; then it is
-// held and refused in time. The cap on ejections holds for its few servers by themselves.
-func TestPlacementIsKept(t *testing.T) {
-	set := site(1)
+// A bound class is sent only to its own servers, on every attempt and even if all of them are out of service;
+// then its request is queued and refused in time. The limit on ejections applies separately to the class's
+// few servers.
+func TestBoundClassUsesOnlyItsServers(t *testing.T) {
+	set := testSettings(1)
 	set.Classes[0].Kinds = []string{"k1"} // s01, s04, s07 of nine
-	b := start(t, set, members(9))
-	open := map[string]bool{"s01": true, "s04": true, "s07": true}
+	b := newTestBalancer(t, set, members(9))
+	bound := map[string]bool{"s01": true, "s04": true, "s07": true}
 	for i, code := range []Code{ServerError, Full, ConnectFailed} {
 		id := fmt.Sprint(i)
-		s := sentTo(t, b.Handle(ms, ask(id, "free")))
-		if !open[s] {
-			t.Fatalf("sent to %s", s)
+		s := sentTo(t, b.Handle(ms, newRequest(id, "free")))
+		if !bound[s] {
+			t.Fatalf("sent to %s, which the class is not bound to", s)
 		}
-		if s = sentTo(t, b.Handle(2*ms, outcome(id, 0, s, code, ms))); !open[s] {
-			t.Fatalf("sent again to %s", s)
+		if s = sentTo(t, b.Handle(2*ms, newOutcome(id, 0, s, code, ms))); !bound[s] {
+			t.Fatalf("retry sent to %s, which the class is not bound to", s)
 		}
-		b.Handle(3*ms, outcome(id, 1, s, OK, ms))
+		b.Handle(3*ms, newOutcome(id, 1, s, OK, ms))
 	}
 	for _, id := range []string{"s01", "s04", "s07"} {
 		b.servers[id].health.score = 0.6
@@ -139,40 +144,42 @@
 	if b.classList[0].eligible.ejectedCount != 1 {
 		t.Errorf("%d of the class's 3 servers are ejected, want 1", b.classList[0].eligible.ejectedCount)
 	}
-	for id := range open {
+	for id := range bound {
 		b.Handle(4*ms, MemberList{Kind: ListUpdate, Members: []Member{{Server: id, Zone: "a", Kind: "k1", Availability: Draining}}})
 	}
-	acts := slices.Clone(b.Handle(5*ms, ask("x", "free")))
+	acts := slices.Clone(b.Handle(5*ms, newRequest("x", "free")))
 	for now := 6 * ms; now < 600*ms; now += queuePollInterval {
 		acts = append(acts, b.Handle(now, Timer{Token: queueToken})...)
 	}
-	if len(of(acts, Send)) != 0 || len(of(acts, Refuse)) != 1 {
-		t.Errorf("with its servers gone: got %+v, want one refusal and no send", acts)
+	if len(actionsOfKind(acts, Send)) != 0 || len(actionsOfKind(acts, Refuse)) != 1 {
+		t.Errorf("with its servers draining: got %+v, want one refusal and no send", acts)
 	}
 }
 
-// The budget counts every request taken, those refused too, and each further attempt itself.
-func TestBudgetOfAttemptsIsExact(t *testing.T) {
-	set := site(1)
+// The retry budget counts every request received, including refused ones, and each extra attempt
+// individually.
+func TestRetryBudgetIsExact(t *testing.T) {
+	set := testSettings(1)
 	set.Rules.AttemptBudget = &AttemptBudget{MinExtra: 2, ExtraShare: 0.5, Span: time.Second}
-	b := start(t, set, members(9))
+	b := newTestBalancer(t, set, members(9))
 	extras := func(now Time, from, n int) (sent int) {
 		for i := range n {
 			id := fmt.Sprint(from + i)
-			for _, a := range of(slices.Clone(b.Handle(now, ask(id, "free"))), Send) {
-				sent += len(of(b.Handle(now, outcome(id, 0, a.Server, ServerError, ms)), Send))
+			for _, a := range actionsOfKind(slices.Clone(b.Handle(now, newRequest(id, "free"))), Send) {
+				sent += len(actionsOfKind(b.Handle(now, newOutcome(id, 0, a.Server, ServerError, ms)), Send))
 			}
 		}
 		return sent
 	}
-	if got := extras(ms, 0, 4); got > 4 { // two, and half of four
-		t.Errorf("%d further attempts for 4 requests, at most 4 allowed", got)
+	if got := extras(ms, 0, 4); got > 4 { // MinExtra, and half of the 4 requests
+		t.Errorf("%d extra attempts for 4 requests, want at most 4", got)
 	}
 	b.recentExtra, b.recentRequests = nil, []Time{0, 1, 2, 3}
 	b.now = 500 * ms
 	for n := range 10 {
-		if may := b.withinRetryBudget(); may != (n < 3) { // on the safe side of the exact 4
-			t.Fatalf("after %d further attempts: may repeat %v", n, may)
+		// One less than the exact limit of 4: the check errs on the strict side.
+		if allowed := b.withinRetryBudget(); allowed != (n < 3) {
+			t.Fatalf("after %d extra attempts: another one allowed %v", n, allowed)
 		}
 		if !b.withinRetryBudget() {
 			break
@@ -181,40 +188,40 @@
 	}
 	b.now = time.Second + 4 // the requests have left the window, the attempts have not
 	if b.withinRetryBudget() {
-		t.Error("more than the least is allowed for requests that have left the window")
+		t.Error("more than MinExtra is allowed for requests that have left the window")
 	}
 	b.now = 2 * time.Second
 	if !b.withinRetryBudget() || len(b.recentExtra)+len(b.recentRequests) != 0 {
-		t.Error("the window was not emptied")
+		t.Error("the budget still counts entries that have left the window")
 	}
 }
 
 func TestPacksOwnZoneInIDOrderThenSpills(t *testing.T) {
-	b := start(t, site(1), members(4))
+	b := newTestBalancer(t, testSettings(1), members(4))
 	for _, s := range b.order() {
 		s.threshold = 1
 	}
 	var got []string
 	for i := range 4 {
-		got = append(got, sentTo(t, b.Handle(ms, ask(fmt.Sprint(i), "free"))))
+		got = append(got, sentTo(t, b.Handle(ms, newRequest(fmt.Sprint(i), "free"))))
 	}
 	if want := []string{"s00", "s02", "s01", "s03"}; !reflect.DeepEqual(got, want) {
 		t.Errorf("with a threshold of one: sent to %v, want %v", got, want)
 	}
 }
 
-func TestFullBucketRefusesWithRetryAfter(t *testing.T) {
-	b := start(t, site(1), members(4))
+func TestEmptyBucketRefusesWithRetryAfter(t *testing.T) {
+	b := newTestBalancer(t, testSettings(1), members(4))
 	b.settings.Allowed.RetryAfter = true
 	for i := 0; ; i++ {
-		r := ask(fmt.Sprint(i), "free")
+		r := newRequest(fmt.Sprint(i), "free")
 		r.Tenant = "u"
-		if ref := of(b.Handle(ms, r), Refuse); len(ref) == 1 {
-			if i != 8 { // 10 a second / ln 2, half a second of burst
-				t.Errorf("refused after %d, want 8", i)
+		if refusals := actionsOfKind(b.Handle(ms, r), Refuse); len(refusals) == 1 {
+			if i != 8 { // 10 a second / ln 2, for a burst of half a second
+				t.Errorf("refused after %d requests, want 8", i)
 			}
-			if ref[0].Wait != time.Second {
-				t.Errorf("retry-after %v, want 1 s", ref[0].Wait)
+			if refusals[0].Wait != time.Second {
+				t.Errorf("retry-after %v, want 1 s", refusals[0].Wait)
 			}
 			break
 		}
@@ -222,27 +229,27 @@
 }
 
 func TestOverrideByClassHasItsOwnBucketAndMaximum(t *testing.T) {
-	set := site(1)
+	set := testSettings(1)
 	set.Limits = RateLimits{PerClass: map[string]Limit{"free": {PerWindow: 50, Window: time.Second, Burst: 50}}, Max: 2}
-	b := start(t, set, members(8))
+	b := newTestBalancer(t, set, members(8))
 	refused := 0
 	for i := range 5 {
-		refused += len(of(b.Handle(ms, ask(fmt.Sprint("f", i), "free")), Refuse))
+		refused += len(actionsOfKind(b.Handle(ms, newRequest(fmt.Sprint("f", i), "free")), Refuse))
 	}
 	if refused != 3 {
-		t.Errorf("refused %d of 5, want 3: the maximum cuts the burst to 2", refused)
+		t.Errorf("refused %d of 5, want 3: the maximum reduces the burst to 2", refused)
 	}
-	if len(of(b.Handle(ms, ask("x", "once")), Refuse)) != 0 {
+	if len(actionsOfKind(b.Handle(ms, newRequest("x", "once")), Refuse)) != 0 {
 		t.Error("another class was refused by the override's bucket")
 	}
 }
 
-func outcome(id string, attempt int, server string, code Code, latency time.Duration) Outcome {
+func newOutcome(id string, attempt int, server string, code Code, latency time.Duration) Outcome {
 	return Outcome{ID: id, Attempt: attempt, Server: server, Code: code, Latency: latency, Ended: code == OK}
 }
 
-func TestRepeatsKeepToTheirClass(t *testing.T) {
-	for _, c := range []struct {
+func TestRetriesFollowTheirClass(t *testing.T) {
+	for _, tc := range []struct {
 		class      string
 		code       Code
 		after      time.Duration
@@ -266,12 +273,12 @@
 		{class: "cell", code: ServerError, after: 301 * ms, wantAction: Fail},
 	} {
 		list := members(8)
-		b := start(t, site(1), list)
-		first := sentTo(t, b.Handle(ms, ask("x", c.class)))
-		acts := b.Handle(2*ms+c.after, outcome("x", 0, first, c.code, c.after))
-		if !c.resent {
-			if len(of(acts, Send)) != 0 || len(of(acts, c.wantAction)) != 1 {
-				t.Errorf("%s after %v at %v: got %+v", c.class, c.code, c.after, acts)
+		b := newTestBalancer(t, testSettings(1), list)
+		first := sentTo(t, b.Handle(ms, newRequest("x", tc.class)))
+		acts := b.Handle(2*ms+tc.after, newOutcome("x", 0, first, tc.code, tc.after))
+		if !tc.resent {
+			if len(actionsOfKind(acts, Send)) != 0 || len(actionsOfKind(acts, tc.wantAction)) != 1 {
+				t.Errorf("%s after %v at %v: got %+v", tc.class, tc.code, tc.after, acts)
 			}
 			continue
 		}
@@ -280,212 +287,215 @@
 		for _, m := range list {
 			zone[m.Server], cell[m.Server] = m.Zone, m.Cell
 		}
-		if c.sameZone && zone[first] != zone[second] || c.sameCell && cell[first] != cell[second] {
-			t.Errorf("%s: first %s, then %s outside its group", c.class, first, second)
+		if tc.sameZone && zone[first] != zone[second] || tc.sameCell && cell[first] != cell[second] {
+			t.Errorf("%s: sent to %s, then to %s outside its group", tc.class, first, second)
 		}
 	}
 }
 
-// A trial that its second copy outran must not block later trials.
-func TestOutrunTrialIsFollowedByAnother(t *testing.T) {
-	b := start(t, site(1), members(6))
+// A trial that was cancelled because its second copy was faster must not block later trials.
+func TestCancelledTrialDoesNotBlockTheNext(t *testing.T) {
+	b := newTestBalancer(t, testSettings(1), members(6))
 	s := b.servers["s00"]
 	b.eject(s, false)
 	now := s.health.ejectedUntil
-	if got := sentTo(t, b.Handle(now, ask("x", "free"))); got != "s00" {
-		t.Fatalf("trial went to %s", got)
+	if got := sentTo(t, b.Handle(now, newRequest("x", "free"))); got != "s00" {
+		t.Fatalf("trial sent to %s, want s00", got)
 	}
-	b.Handle(now+100*ms, outcome("x", 0, "s00", Cancelled, 100*ms))
+	b.Handle(now+100*ms, newOutcome("x", 0, "s00", Cancelled, 100*ms))
 	if s.health.trialPending {
-		t.Error("the trial still counts as out")
+		t.Error("the trial still counts as pending")
 	}
 	now = s.health.ejectedUntil
-	if got := sentTo(t, b.Handle(now, ask("y", "free"))); got != "s00" {
-		t.Errorf("next trial went to %s, want s00", got)
+	if got := sentTo(t, b.Handle(now, newRequest("y", "free"))); got != "s00" {
+		t.Errorf("next trial sent to %s, want s00", got)
 	}
 }
 
-// A hung server that is full turns trials away at once: that must not invite the next trial.
-func TestFullTrialPutsTheNextOff(t *testing.T) {
-	b := start(t, site(1), members(6))
+// A hung server that is full rejects trials at once. This must delay the next trial, not trigger it.
+func TestFullTrialDelaysTheNext(t *testing.T) {
+	b := newTestBalancer(t, testSettings(1), members(6))
 	s := b.servers["s00"]
 	b.eject(s, false)
 	now := s.health.ejectedUntil
-	b.Handle(now, ask("x", "free"))
-	b.Handle(now+ms, outcome("x", 0, "s00", Full, ms))
-	if got := sentTo(t, b.Handle(now+2*ms, ask("y", "free"))); got == "s00" {
-		t.Error("tried again at once")
+	b.Handle(now, newRequest("x", "free"))
+	b.Handle(now+ms, newOutcome("x", 0, "s00", Full, ms))
+	if got := sentTo(t, b.Handle(now+2*ms, newRequest("y", "free"))); got == "s00" {
+		t.Error("the next trial was sent at once")
 	}
 }
 
-// A slow request at a server that answers others is no sign of a hang.
-func TestTimeOutAtAnAnsweringServerIsNoStrike(t *testing.T) {
-	b := start(t, site(1), members(6))
+// A timeout doesn't count against a server that answers others: the request may be heavy, and the server
+// isn't hung.
+func TestTimeoutAtAnAnsweringServerIsNoFailure(t *testing.T) {
+	b := newTestBalancer(t, testSettings(1), members(6))
 	s := b.servers["s00"]
-	b.Handle(ms, ask("x", "once"))
+	b.Handle(ms, newRequest("x", "once"))
 	s.lastAnswer = 100 * ms
-	b.Handle(600*ms, outcome("x", 0, "s00", TimedOut, 600*ms))
+	b.Handle(600*ms, newOutcome("x", 0, "s00", TimedOut, 600*ms))
 	if s.health.score != 0 {
 		t.Errorf("score %v, want 0", s.health.score)
 	}
 }
 
-func TestRatesFollowRoom(t *testing.T) {
-	b := start(t, site(1), members(2))
+func TestPaceFollowsRoom(t *testing.T) {
+	b := newTestBalancer(t, testSettings(1), members(2))
 	for range 100 {
 		b.adjustPace(false)
 	}
 	if b.pace >= 0.5 || b.pace < minPace {
-		t.Errorf("after 100 choices without room the scale is %v", b.pace)
+		t.Errorf("after 100 choices without room the pace is %v", b.pace)
 	}
-	was := b.pace
+	before := b.pace
 	b.adjustPace(true)
-	if b.pace != was {
-		t.Error("the scale rose though no bucket refused")
+	if b.pace != before {
+		t.Error("the pace rose although no bucket had refused a request")
 	}
 	b.bucketRefused = true
 	b.adjustPace(true)
-	if b.pace <= was {
-		t.Error("the scale did not rise though a bucket refused and there was room")
+	if b.pace <= before {
+		t.Error("the pace did not rise although a bucket had refused a request and there was room")
 	}
 }
 
-// A request that is held for long tells once that servers had no room, not at each look.
-func TestHeldRequestMovesTheRatesOnce(t *testing.T) {
-	b := start(t, site(1), members(1))
+// A request that is queued for long lowers the pace once, not at each check of the queue.
+func TestQueuedRequestLowersThePaceOnce(t *testing.T) {
+	b := newTestBalancer(t, testSettings(1), members(1))
 	s := b.order()[0]
 	s.threshold, s.thresholdCut, s.inflight = 1, true, 3
 	b.updateStatus(s)
-	b.Handle(ms, ask("x", "free"))
-	was := b.pace
+	b.Handle(ms, newRequest("x", "free"))
+	before := b.pace
 	for now := 2 * ms; now < 80*ms; now += queuePollInterval {
 		b.Handle(now, Timer{Token: queueToken})
 	}
-	if b.queue.len() != 1 || was >= 1 || b.pace != was {
-		t.Errorf("%d held, the scale went from %v to %v", b.queue.len(), was, b.pace)
+	if b.queue.len() != 1 || before >= 1 || b.pace != before {
+		t.Errorf("%d queued, the pace went from %v to %v", b.queue.len(), before, b.pace)
 	}
 }
 
-// Nodes begin their walks apart, and a key has one home for all nodes of a zone.
-func TestStaggerAndHome(t *testing.T) {
-	firsts := map[string]bool{}
-	homes := map[string]bool{}
+// Nodes start their walks at different servers, and all nodes of a zone prefer the same server for a key.
+func TestStaggeredWalksAndCommonKeyCandidates(t *testing.T) {
+	walkStarts := map[string]bool{}
+	preferred := map[string]bool{}
 	for n := range 6 {
-		set := site(6)
+		set := testSettings(6)
 		set.Node, set.WarmKeys = n, true
-		b := start(t, set, members(24))
-		firsts[b.order()[0].Server] = true
-		homes[b.hashCandidates(&request{class: b.classList[0], keyHash: hash("acct/1")})[0].Server] = true
+		b := newTestBalancer(t, set, members(24))
+		walkStarts[b.order()[0].Server] = true
+		preferred[b.hashCandidates(&request{class: b.classList[0], keyHash: hash("acct/1")})[0].Server] = true
 	}
-	if len(firsts) < 5 {
-		t.Errorf("6 nodes begin at only %d servers", len(firsts))
+	if len(walkStarts) < 5 {
+		t.Errorf("6 nodes start their walks at only %d servers", len(walkStarts))
 	}
-	if len(homes) != 1 {
-		t.Errorf("one key has %d homes", len(homes))
+	if len(preferred) != 1 {
+		t.Errorf("one key has %d preferred servers, want 1", len(preferred))
 	}
 }
 
-// A cold server gets a small part of what a warm one gets, over all nodes.
-func TestColdServerIsNotPushedOver(t *testing.T) {
+// All nodes together send a cold server at most half of an even share of the requests.
+func TestColdServerIsNotOverloaded(t *testing.T) {
 	list := members(8)
 	list[0].OnlineSince = 1000 * ms
 	const nodes = 8
-	sends, rate := 0, 0
+	coldSends, totalSends := 0, 0
 	for n := range nodes {
-		set := site(nodes)
+		set := testSettings(nodes)
 		set.Node = n
-		b := start(t, set, list)
+		b := newTestBalancer(t, set, list)
 		for i := range 3000 {
 			now := 1000*ms + time.Duration(i)*ms
 			id := fmt.Sprint(i)
-			for _, a := range of(b.Handle(now, ask(id, "free")), Send) {
-				rate++
+			for _, a := range actionsOfKind(b.Handle(now, newRequest(id, "free")), Send) {
+				totalSends++
 				if a.Server == "s00" {
-					sends++
+					coldSends++
 				}
-				b.Handle(now, outcome(id, 0, a.Server, OK, ms))
+				b.Handle(now, newOutcome(id, 0, a.Server, OK, ms))
 			}
 		}
 	}
-	if most := rate / len(list) / 2; sends > most || sends == 0 {
-		t.Errorf("%d of %d went to the cold server, want some but at most %d", sends, rate, most)
+	if maxSends := totalSends / len(list) / 2; coldSends > maxSends || coldSends == 0 {
+		t.Errorf("%d of %d requests went to the cold server, want some but at most %d", coldSends, totalSends, maxSends)
 	}
 }
 
-// fleet is one of 80 nodes with 60 servers of its zone.
-func fleet(t *testing.T, list []Member) *Balancer {
+// oneOf80Nodes returns one of 80 nodes, without rate limits and with all servers in its own zone.
+func oneOf80Nodes(t *testing.T, list []Member) *Balancer {
 	t.Helper()
-	set := site(80)
-	set.Node, set.Tenants = 7, nil // no buckets
+	set := testSettings(80)
+	set.Node, set.Tenants = 7, nil // no rate limits
 	for i := range list {
 		list[i].Zone = set.Zone
 	}
-	return start(t, set, list)
+	return newTestBalancer(t, set, list)
 }
 
-// Of many nodes, each packs onto its own first few servers, one attempt at each: with a part of one, all
-// would wait for their turn at idle servers.
+// With many nodes, each packs onto its own first few servers, one attempt at each. With an initial threshold
+// of a fraction of an attempt, all nodes would space their sends while servers are idle.
 func TestManyNodesFillTheirFirstFewServers(t *testing.T) {
-	b := fleet(t, members(60))
+	b := oneOf80Nodes(t, members(60))
 	for i := range 6 {
-		if got := sentTo(t, b.Handle(ms, ask(fmt.Sprint(i), "free"))); got != b.order()[i].Server {
+		if got := sentTo(t, b.Handle(ms, newRequest(fmt.Sprint(i), "free"))); got != b.order()[i].Server {
 			t.Errorf("request %d: sent to %s, want %s", i, got, b.order()[i].Server)
 		}
 	}
 }
 
-// What each of many nodes has out is bounded by what all servers take that are there, and warm, now. Those
-// that are cold have a budget of their own, and don't keep it from the warm ones.
-func TestManyNodesKeepToTheirEvenPart(t *testing.T) {
-	cold := members(60)
+// With many nodes, the attempts that each has in flight are bounded by what the warm servers in service
+// process at once. Cold servers have a budget of their own and take nothing from the share of the warm ones.
+func TestManyNodesKeepToTheirFairShare(t *testing.T) {
+	halfCold := members(60)
 	for i := range 30 {
-		cold[2*i].OnlineSince = ms
+		halfCold[2*i].OnlineSince = ms
 	}
-	for name, c := range map[string]struct {
+	for name, tc := range map[string]struct {
 		list []Member
 		want int
-	}{"all": {members(60), 9}, "a third": {members(20), 3}, "half cold": {cold, 5}} { // 4.5 of 2 * 6 * 60 / 80
-		b, sends := fleet(t, c.list), 0
+	}{"all": {members(60), 9}, "a third": {members(20), 3}, "half cold": {halfCold, 5}} { // 2 * 6 * 60 / 80 for 60 warm servers
+		b, warmSends := oneOf80Nodes(t, tc.list), 0
 		for _, s := range b.order() {
 			if s.OnlineSince > 0 {
 				s.cold.tokens = 1
 			}
 		}
 		for i := range 60 {
-			for _, a := range of(b.Handle(2*ms, ask(fmt.Sprint(i), "free")), Send) {
+			for _, a := range actionsOfKind(b.Handle(2*ms, newRequest(fmt.Sprint(i), "free")), Send) {
 				if b.servers[a.Server].OnlineSince == 0 {
-					sends++
+					warmSends++
 				}
 			}
 		}
-		if sends != c.want {
-			t.Errorf("%s: %d attempts are out at warm servers, want %d", name, sends, c.want)
+		if warmSends != tc.want {
+			t.Errorf("%s: %d attempts in flight at warm servers, want %d", name, warmSends, tc.want)
 		}
 	}
 }
 
-// The busier the servers say they are, the less each of many nodes has out, down to what they take at once.
-func TestManyNodesKeepToLessWhenServersAreBusy(t *testing.T) {
-	for util, want := range map[float64]int{0.3: 9, 0.83: 7, 1: 5} { // 4.5 each is what all servers take at once
-		b, sends := fleet(t, members(60)), 0
+// The higher the core use that servers report, the fewer attempts each of many nodes has in flight, down to
+// its share of what the servers process at once.
+func TestManyNodesSendLessWhenServersAreBusy(t *testing.T) {
+	for util, want := range map[float64]int{0.3: 9, 0.83: 7, 1: 5} { // 4.5 is a node's share of what servers process at once
+		b, sends := oneOf80Nodes(t, members(60)), 0
 		b.settings.Report = []string{"latency_ms", "util"}
 		for range 200 {
 			b.recordLoadReport(b.order()[0], []float64{100, util})
 		}
 		for i := range 60 {
-			sends += len(of(b.Handle(ms, ask(fmt.Sprint(i), "free")), Send))
+			sends += len(actionsOfKind(b.Handle(ms, newRequest(fmt.Sprint(i), "free")), Send))
 		}
 		if sends != want {
-			t.Errorf("servers use %v of their cores: %d attempts are out, want %d", util, sends, want)
+			t.Errorf("servers use %v of their cores: %d attempts in flight, want %d", util, sends, want)
 		}
 	}
 }
 
-// Of many nodes, one is full by chance time and again: its bucket rates stay at the shares, and the bound on
-// what it has out sheds the rest. With few nodes they fall, for nothing else sheds.
-func TestRatesOfManyNodesStayAtTheShares(t *testing.T) {
+// With many nodes, each is often full by chance: its pace stays at 1, so that bucket rates stay at the
+// tenants' shares, and the bound on its attempts in flight sheds the rest. With few nodes the pace falls,
+// because nothing else sheds load.
+func TestPaceOfManyNodesStaysAtOne(t *testing.T) {
 	for nodes, want := range map[int]float64{2: minPace, 80: 1} {
-		b := start(t, site(nodes), members(12))
+		b := newTestBalancer(t, testSettings(nodes), members(12))
 		for range 500 {
 			b.adjustPace(false)
 		}
@@ -495,17 +505,17 @@
 	}
 }
 
-// When there is room again, held requests of the class that is worth most go first, then the oldest.
-func TestHeldRequestsGoByWorth(t *testing.T) {
-	set := site(1)
+// When there is room again, the queued requests of the highest worth are sent first, then the oldest.
+func TestQueuedRequestsAreSentByWorth(t *testing.T) {
+	set := testSettings(1)
 	set.Classes[1].Worth, set.Classes[2].Worth = 5, 2
-	b := start(t, set, nil)
+	b := newTestBalancer(t, set, nil)
 	for i, class := range []string{"free", "all", "once", "once"} {
-		b.Handle(time.Duration(i)*ms, ask(fmt.Sprint(i), class))
+		b.Handle(time.Duration(i)*ms, newRequest(fmt.Sprint(i), class))
 	}
 	var got []string
 	acts := b.Handle(10*ms, MemberList{Kind: ListReplace, Members: members(12)})
-	for _, a := range of(acts, Send) {
+	for _, a := range actionsOfKind(acts, Send) {
 		got = append(got, a.ID)
 	}
 	if want := []string{"2", "3", "1", "0"}; !slices.Equal(got, want) {
@@ -513,57 +523,58 @@
 	}
 }
 
-// A new request doesn't take the room that a held one of more worth waits for.
+// A new request doesn't take the room that a queued request of higher worth waits for.
 func TestNewRequestsQueueByWorth(t *testing.T) {
-	set := site(1)
+	set := testSettings(1)
 	set.Tenants, set.Classes[1].Worth = nil, 5
-	b := start(t, set, members(1))
-	last := ""
+	b := newTestBalancer(t, set, members(1))
+	queuedID := ""
 	for i := 0; b.queue.len() == 0; i++ {
-		last = fmt.Sprint(i)
-		b.Handle(ms, ask(last, "once"))
+		queuedID = fmt.Sprint(i)
+		b.Handle(ms, newRequest(queuedID, "once"))
 	}
-	b.Handle(2*ms, outcome("0", 0, "s00", OK, ms))
-	acts := of(b.Handle(3*ms, ask("new", "free")), Send)
-	if len(acts) != 1 || acts[0].ID != last {
-		t.Errorf("sent %+v, want %s, which is worth more", acts, last)
+	b.Handle(2*ms, newOutcome("0", 0, "s00", OK, ms))
+	acts := actionsOfKind(b.Handle(3*ms, newRequest("new", "free")), Send)
+	if len(acts) != 1 || acts[0].ID != queuedID {
+		t.Errorf("sent %+v, want %s, which has a higher worth", acts, queuedID)
 	}
 }
 
-// A cold server has its budget from all nodes: each spends its part, wherever its own walk begins, and by
-// what reports say warm servers of that kind serve, however little this node was answered lately.
-func TestColdServersGetTheirPartFromAllNodes(t *testing.T) {
+// A cold server's budget is shared by all nodes. Each spends its share wherever its own walk starts, and
+// derives it from the rate that warm servers of that kind report, however few answers the node itself got
+// lately.
+func TestColdServersGetAShareFromEveryNode(t *testing.T) {
 	list := members(60)
-	b := fleet(t, list)
+	b := oneOf80Nodes(t, list)
 	b.settings.Report = []string{"util", "qps"}
-	last := b.order()[59].Member
-	last.OnlineSince = time.Second
-	b.Handle(time.Second, MemberList{Kind: ListUpdate, Members: []Member{last}})
-	cold := b.servers[last.Server]
+	coldMember := b.order()[59].Member
+	coldMember.OnlineSince = time.Second
+	b.Handle(time.Second, MemberList{Kind: ListUpdate, Members: []Member{coldMember}})
+	cold := b.servers[coldMember.Server]
 	warm := b.order()[0]
 	for warm.Kind != cold.Kind {
 		warm = b.order()[slices.Index(b.order(), warm)+1]
 	}
 	b.recordLoadReport(warm, []float64{0.9, 400})
-	b.recordLoadReport(cold, []float64{0.1, 1}) // hardly used yet: tells nothing of what it can take
+	b.recordLoadReport(cold, []float64{0.1, 1}) // too little used to show its capacity
 	cold.cold = coldBudget{lastRefill: b.now}
-	b.Handle(time.Second+500*ms, ask("early", "free")) // half a second at 1.4 * 0.24 * 400 / 80
+	b.Handle(time.Second+500*ms, newRequest("early", "free")) // half a second at 1.4 * 0.24 * 400 / 80 a second
 	if cold.inflight != 0 {
-		t.Error("the cold server got something before this node's part was due")
+		t.Error("the cold server got a request before this node's share allowed one")
 	}
-	if got := sentTo(t, b.Handle(time.Second+700*ms, ask("due", "free"))); got != cold.Server {
+	if got := sentTo(t, b.Handle(time.Second+700*ms, newRequest("due", "free"))); got != cold.Server {
 		t.Errorf("sent to %s, want the cold %s", got, cold.Server)
 	}
-	if got := sentTo(t, b.Handle(time.Second+710*ms, ask("next", "free"))); got == cold.Server {
-		t.Error("the cold server got twice this node's part")
+	if got := sentTo(t, b.Handle(time.Second+710*ms, newRequest("next", "free"))); got == cold.Server {
+		t.Error("the cold server got twice this node's share")
 	}
 }
 
-// What a cold server reports of itself goes before what its kind and its age let hope for.
-func TestColdServersGetNoMoreThanTheyReportToTake(t *testing.T) {
+// The capacity that a cold server reports limits the rate expected from its kind and its age.
+func TestColdServersGetNoMoreThanTheirReportedCapacity(t *testing.T) {
 	list := members(1)
 	list[0].OnlineSince = time.Second
-	b := fleet(t, list)
+	b := oneOf80Nodes(t, list)
 	b.now = 2 * time.Second
 	b.settings.Report = []string{"util", "qps"}
 	s := b.order()[0]
@@ -573,64 +584,66 @@
 		b.coldBudgetAllows(s)
 		return s.cold.tokens
 	}
-	free := tokens()
-	b.recordLoadReport(s, []float64{0.2, 1}) // hardly used, which tells nothing of what it could take
-	if got := tokens(); got != free {
-		t.Errorf("after a report of an idle server: %v of a request, want %v", got, free)
+	unlimited := tokens()
+	b.recordLoadReport(s, []float64{0.2, 1}) // too little used to show its capacity
+	if got := tokens(); got != unlimited {
+		t.Errorf("after a report of an idle server: %v tokens, want %v", got, unlimited)
 	}
 	b.recordLoadReport(s, []float64{0.8, 32})
-	if got, want := tokens(), maxColdUse*40/80*0.5; math.Abs(got-want) > 1e-9 || got >= free {
-		t.Errorf("after 32 a second by 0.8 of its cores: %v of a request in half a second, want %v", got, want)
+	if got, want := tokens(), maxColdUse*40/80*0.5; math.Abs(got-want) > 1e-9 || got >= unlimited {
+		t.Errorf("after a report of 32 a second with 0.8 of its cores: %v tokens in half a second, want %v", got, want)
 	}
 }
 
-// Servers that other nodes mostly use are learned of together: a node sees too little of each.
-func TestTrustInOthersIsLearnedTogether(t *testing.T) {
-	set := site(12)
+// The thresholds of servers that get most of their work from other nodes share one learned scale: a node sees
+// too few answers of each server.
+func TestSharedServersHaveOneThresholdScale(t *testing.T) {
+	set := testSettings(12)
 	set.WarmKeys = true
-	b := start(t, set, members(12))
-	others := b.order()
-	learn := func(code Code, n int) {
+	b := newTestBalancer(t, set, members(12))
+	servers := b.order()
+	record := func(code Code, n int) {
 		for range n {
-			b.updateThreshold(others[0], b.classList[0], code, ms)
+			b.updateThreshold(servers[0], b.classList[0], code, ms)
 		}
 	}
-	was := b.limit(others[1])
-	learn(OK, 40)
-	if b.limit(others[1]) <= was {
-		t.Error("good answers of one did not raise the limit of another")
+	initial := b.limit(servers[1])
+	record(OK, 40)
+	if b.limit(servers[1]) <= initial {
+		t.Error("good answers of one server did not raise the limit of another")
 	}
-	raised := b.limit(others[1])
-	learn(Full, 10)
-	if b.limit(others[1]) < raised {
-		t.Error("full answers of one lowered the limit of another: they do no harm, the request goes elsewhere")
+	raised := b.limit(servers[1])
+	record(Full, 10)
+	if b.limit(servers[1]) < raised {
+		t.Error("full answers of one server lowered the limit of another: they are harmless, as the request goes elsewhere")
 	}
-	learn(TimedOut, 100)
-	if got := b.limit(others[1]); got != was {
-		t.Errorf("after many time-outs the limit is %v, want the %v of the start", got, was)
+	record(TimedOut, 100)
+	if got := b.limit(servers[1]); got != initial {
+		t.Errorf("after many timeouts the limit is %v, want the initial %v", got, initial)
 	}
 }
 
-// Where servers turn work away early, a full answer is cheap: nothing is refused unasked, the rates stay
-// at the shares and nobody is ejected for it. A late answer weighs against that, as does a hung server.
-func TestOffersWhereServersShedEarly(t *testing.T) {
-	b := start(t, site(1), members(2))
+// Where servers shed early, a full answer is cheap: no request is refused unsent, the pace stays at 1, and no
+// server is ejected for full answers. Timeouts are evidence against early shedding, and full answers of a
+// hung server are none for it.
+func TestFullAnswersWhereServersShedEarly(t *testing.T) {
+	b := newTestBalancer(t, testSettings(1), members(2))
 	s := b.order()[0]
 	for range 40 {
 		b.updateThreshold(s, b.classList[0], Full, ms)
 		b.updateBreaker(&attempt{server: s}, OK)
 	}
 	if !b.serversShedEarly() {
-		t.Fatal("40 full answers and none late: not seen to shed early")
+		t.Fatal("after 40 full answers and no timeout the servers don't count as shedding early")
 	}
 	for _, s := range b.order() {
 		s.inflight = 20
 		b.updateStatus(s)
 	}
-	sentTo(t, b.Handle(ms, ask("x", "free")))
+	sentTo(t, b.Handle(ms, newRequest("x", "free")))
 	b.adjustPace(false)
 	if b.pace != 1 {
-		t.Errorf("rates at %v of the shares", b.pace)
+		t.Errorf("pace %v, want 1", b.pace)
 	}
 	for range 10 {
 		b.updateBreaker(&attempt{server: s}, Full)
@@ -643,53 +656,55 @@
 	}
 	s.health.score = 0.4
 	for range 40 {
-		b.updateThreshold(s, b.classList[0], Full, ms) // of a hung server: they don't count
+		b.updateThreshold(s, b.classList[0], Full, ms) // not counted, as the server may be hung
 	}
 	if b.serversShedEarly() {
-		t.Error("still held to shed early after many time-outs")
+		t.Error("the servers still count as shedding early after many timeouts")
 	}
 	for _, s := range b.order() {
 		b.updateStatus(s)
 	}
-	if acts := b.Handle(2*ms, ask("y", "free")); len(of(acts, Send)) != 0 {
-		t.Error("sent past the crowd limit")
+	if acts := b.Handle(2*ms, newRequest("y", "free")); len(actionsOfKind(acts, Send)) != 0 {
+		t.Error("sent beyond overcommitLimit")
 	}
 }
 
-// Traffic far beyond the shares passes only while next to no answer is bad: other nodes may lack the room.
-func TestRatesFarOverTheSharesNeedGoodAnswers(t *testing.T) {
-	b := start(t, site(1), members(2))
-	grow := func() {
+// The pace rises above cautiousPace only while few answers are bad: otherwise other nodes may lack the
+// capacity.
+func TestHighPaceNeedsGoodAnswers(t *testing.T) {
+	b := newTestBalancer(t, testSettings(1), members(2))
+	raisePace := func() {
 		for range 200 {
 			b.bucketRefused = true
 			b.adjustPace(true)
 		}
 	}
-	grow()
+	raisePace()
 	if b.pace != maxPace {
-		t.Errorf("with good answers the scale is %v, want %v", b.pace, maxPace)
+		t.Errorf("with good answers the pace is %v, want %v", b.pace, maxPace)
 	}
 	for range 20 {
 		b.updateThreshold(b.order()[0], b.classList[0], TimedOut, ms)
 	}
-	grow()
+	raisePace()
 	if b.pace > cautiousPace*(1+paceIncrease) {
-		t.Errorf("with bad answers the scale is %v, want about %v", b.pace, cautiousPace)
+		t.Errorf("with bad answers the pace is %v, want about %v", b.pace, cautiousPace)
 	}
 }
 
-// Answers that are slow but within their aim lower a threshold and say nothing of the rates: where work takes a good
-// part of its aim even on an idle server, rates would stand still below what uneven traffic within a share needs.
-func TestRatesFarOverTheSharesBearSlowAnswersInTime(t *testing.T) {
+// Answers that are slow but within their aim lower a threshold and don't limit the pace. Where requests take
+// a large part of their aim even on an idle server, the pace would otherwise stop below what uneven traffic
+// within a share needs.
+func TestHighPaceToleratesSlowAnswersInTime(t *testing.T) {
 	for _, late := range []bool{false, true} {
-		b := start(t, site(1), members(2))
-		took := b.classList[0].Aim - ms
+		b := newTestBalancer(t, testSettings(1), members(2))
+		latency := b.classList[0].Aim - ms
 		if late {
-			took = b.classList[0].Aim + ms
+			latency = b.classList[0].Aim + ms
 		}
 		before := b.order()[0].threshold
 		for range 20 {
-			b.updateThreshold(b.order()[0], b.classList[0], OK, took)
+			b.updateThreshold(b.order()[0], b.classList[0], OK, latency)
 		}
 		if b.order()[0].threshold >= before {
 			t.Errorf("late %v: the threshold is %v, was %v", late, b.order()[0].threshold, before)
@@ -698,88 +713,89 @@
 			b.bucketRefused = true
 			b.adjustPace(true)
 		}
-		if grown := b.pace > cautiousPace*(1+paceIncrease); grown == late {
-			t.Errorf("late %v: the scale is %v", late, b.pace)
+		if raised := b.pace > cautiousPace*(1+paceIncrease); raised == late {
+			t.Errorf("late %v: the pace is %v", late, b.pace)
 		}
 	}
 }
 
-// Connections idle for as long as those that went unanswered are closed before a send; a server is not
-// blamed for what was lost on them. Short gaps, and a site whose sends all fail alike, change nothing.
-func TestConnectionsDroppedUnseenAreOpenedAnew(t *testing.T) {
-	b := start(t, site(1), members(2))
+// Connections that were idle for as long as those on which attempts went unanswered are closed before a send,
+// and a server isn't blamed for attempts lost on them. Short idle times, and sends that fail on all
+// connections alike, change nothing.
+func TestSilentlyDroppedConnectionsAreReopened(t *testing.T) {
+	b := newTestBalancer(t, testSettings(1), members(2))
 	s, now := b.order()[0], Time(0)
-	try := func(gap time.Duration, code Code) (closed int) {
-		now += gap
+	sendAfter := func(idle time.Duration, code Code) (closed int) {
+		now += idle
 		id := fmt.Sprint("r", now)
-		acts := slices.Clone(b.Handle(now, ask(id, "once")))
-		closed = len(of(acts, CloseIdle))
-		to := sentTo(t, acts)
-		if to != s.Server {
-			t.Fatalf("sent to %s", to)
+		acts := slices.Clone(b.Handle(now, newRequest(id, "once")))
+		closed = len(actionsOfKind(acts, CloseIdle))
+		serverID := sentTo(t, acts)
+		if serverID != s.Server {
+			t.Fatalf("sent to %s, want the first server", serverID)
 		}
 		now += 100 * ms
-		b.Handle(now, Outcome{ID: id, Server: to, Code: code, Latency: 100 * ms, Ended: code == OK})
+		b.Handle(now, Outcome{ID: id, Server: serverID, Code: code, Latency: 100 * ms, Ended: code == OK})
 		return closed
 	}
 	for range 20 {
-		try(50*ms, OK)
+		sendAfter(50*ms, OK)
 	}
 	for range 2 {
-		if try(900*ms, TimedOut) > 0 {
-			t.Fatal("closed before it was known")
+		if sendAfter(900*ms, TimedOut) > 0 {
+			t.Fatal("closed before enough attempts were lost")
 		}
-		try(50*ms, OK)
+		sendAfter(50*ms, OK)
 	}
 	if s.health.score != 0 || s.health.ejected {
-		t.Errorf("the server has a score of %v", s.health.score)
+		t.Errorf("the server is blamed: score %v", s.health.score)
 	}
-	if try(900*ms, OK) != 1 {
-		t.Error("not closed before a send on a connection that was idle for as long as the lost ones")
+	if sendAfter(900*ms, OK) != 1 {
+		t.Error("not closed before a send on a connection that was idle for as long as those of the lost attempts")
 	}
-	if try(50*ms, OK) != 0 {
-		t.Error("closed though it was in use")
+	if sendAfter(50*ms, OK) != 0 {
+		t.Error("closed although it was in use")
 	}
-	closes := 0
+	closedCount := 0
 	for range 80 {
-		closes += try(900*ms, OK)
+		closedCount += sendAfter(900*ms, OK)
 	}
-	if closes == 80 {
-		t.Error("the suspicion never wears off")
+	if closedCount == 80 {
+		t.Error("connections are still closed before every send after 80 good answers")
 	}
-	try(900*ms, TimedOut)
-	for range 2 { // on a fresh connection now
-		try(50*ms, TimedOut)
+	sendAfter(900*ms, TimedOut)
+	for range 2 { // on a new connection
+		sendAfter(50*ms, TimedOut)
 	}
 	if !s.health.ejected && s.health.score == 0 {
-		t.Error("a server silent on fresh connections isn't blamed")
+		t.Error("a server that is silent on new connections isn't blamed")
 	}
 }
 
-// A key's second home takes over in the same order at every node of a zone.
-func TestSecondHomeTakesWhatTheFirstCannot(t *testing.T) {
-	seen := map[string]bool{}
+// At all nodes of a zone, the same candidate replaces the preferred server of a key.
+func TestSecondKeyCandidateReplacesTheFirst(t *testing.T) {
+	replacements := map[string]bool{}
 	for n := range 6 {
-		set := site(6)
+		set := testSettings(6)
 		set.Node, set.WarmKeys = n, true
-		b := start(t, set, members(24))
-		homes := b.hashCandidates(&request{class: b.classList[0], keyHash: hash("acct/1")})
-		homes[0].health.ejected = true
-		r := ask("x", "free")
+		b := newTestBalancer(t, set, members(24))
+		candidates := b.hashCandidates(&request{class: b.classList[0], keyHash: hash("acct/1")})
+		candidates[0].health.ejected = true
+		r := newRequest("x", "free")
 		r.Key = "acct/1"
-		seen[sentTo(t, b.Handle(time.Second, r))] = true
-		if homes[0] == homes[1] || homes[1] == homes[2] {
-			t.Error("a server is home twice")
+		replacements[sentTo(t, b.Handle(time.Second, r))] = true
+		if candidates[0] == candidates[1] || candidates[1] == candidates[2] {
+			t.Error("a server is a candidate twice")
 		}
 	}
-	if len(seen) != 1 {
-		t.Errorf("without its home the key goes to %d servers, want one", len(seen))
+	if len(replacements) != 1 {
+		t.Errorf("without its preferred server the key goes to %d servers, want one", len(replacements))
 	}
 }
 
-// Full answers of servers that jam are no sign that they shed early: the others they give time out.
-func TestJammedServersDontShedEarly(t *testing.T) {
-	b := start(t, site(1), members(2))
+// Full answers of overloaded servers don't show that they shed early, since their other answers time out.
+func TestOverloadedServersDontShedEarly(t *testing.T) {
+	b := newTestBalancer(t, testSettings(1), members(2))
 	s := b.order()[0]
 	for range 30 {
 		for range 9 {
@@ -790,108 +806,110 @@
 		s.health.score = 0
 	}
 	if b.serversShedEarly() {
-		t.Error("held to shed early though half of the other answers time out")
+		t.Error("the servers count as shedding early although half of the other answers time out")
 	}
 }
 
-// A second copy is for an attempt whose server has gone silent; one that answers others has a heavy
-// request, and a copy would be as heavy elsewhere.
+// A second copy is sent only if the server of the attempt has gone silent. If it answers others, the request
+// is heavy, and a copy would be as heavy elsewhere.
 func TestOnlySilentServersAreHedged(t *testing.T) {
 	for _, silent := range []bool{true, false} {
-		b := start(t, site(1), members(4))
-		s := b.servers[sentTo(t, b.Handle(ms, ask("x", "free")))]
+		b := newTestBalancer(t, testSettings(1), members(4))
+		s := b.servers[sentTo(t, b.Handle(ms, newRequest("x", "free")))]
 		if !silent {
 			s.lastAnswer = 50 * ms
 		}
 		acts := b.Handle(240*ms, Timer{Token: watchToken})
-		if got := len(of(acts, Send)) == 1; got != silent {
+		if got := len(actionsOfKind(acts, Send)) == 1; got != silent {
 			t.Errorf("silent %v: second copy sent %v", silent, got)
 		}
 	}
 }
 
-// The rate to a cold server leaves one multiple of its capacity to chance, whatever multiple is allowed.
-func TestColdRateLeavesOneMultipleToChance(t *testing.T) {
+// The rate to a cold server leaves one multiple of its capacity as a margin for chance, whatever multiple is
+// allowed; it uses at least half of one.
+func TestColdRateLeavesOneMultipleAsMargin(t *testing.T) {
 	for multiple, want := range map[float64]float64{1: 0.35, 2: 0.7, 3: 1.4} {
-		set := site(1)
+		set := testSettings(1)
 		set.Rules.OverloadMultiple, set.Rules.ColdShare, set.Rules.ColdFor = multiple, 0.5, time.Hour
-		b := start(t, set, members(1))
-		b.decayedAnswerRate, b.answerRateAt, b.now = 100, time.Second, time.Second // a hundred answers a second at one server
+		b := newTestBalancer(t, set, members(1))
+		b.decayedAnswerRate, b.answerRateAt, b.now = 100, time.Second, time.Second // 100 answers a second from one server
 		s := b.order()[0]
 		s.OnlineSince = b.now
 		s.cold = coldBudget{lastRefill: b.now - 10*ms}
 		b.coldBudgetAllows(s)
-		if got, rate := s.cold.tokens, want*0.5*100*0.01; math.Abs(got-rate) > 0.01 {
-			t.Errorf("multiple %v: %v requests in 10 ms, want %v", multiple, got, rate)
+		if got, wantTokens := s.cold.tokens, want*0.5*100*0.01; math.Abs(got-wantTokens) > 0.01 {
+			t.Errorf("multiple %v: %v tokens in 10 ms, want %v", multiple, got, wantTokens)
 		}
 	}
 }
 
-// What all nodes together first trust a server with stays the same where nodes are few: four of each of
-// three nodes jam the first server in the order.
-func TestStartIsSharedByFewNodes(t *testing.T) {
+// The sum of the initial thresholds of all nodes for a server doesn't depend on how many nodes there are, if
+// they are few: with four attempts each, three nodes overloaded the first server in packing order.
+func TestInitialThresholdIsSharedByFewNodes(t *testing.T) {
 	for nodes := 1; nodes <= maxUnstaggeredNodes; nodes++ {
-		b := start(t, site(nodes), members(4))
-		if all := b.order()[0].threshold * float64(nodes); math.Abs(all-initialTotal) > 1e-9 {
-			t.Errorf("%d nodes: %v attempts in all, want %v", nodes, all, initialTotal)
+		b := newTestBalancer(t, testSettings(nodes), members(4))
+		if total := b.order()[0].threshold * float64(nodes); math.Abs(total-initialTotal) > 1e-9 {
+			t.Errorf("%d nodes: %v attempts in total, want %v", nodes, total, initialTotal)
 		}
 	}
 }
 
-// Nodes that start together don't all ask for the list at once. A failed call, or a lost subscription, is repeated
-// soon enough for what discovery has by then, however many failed before it, and not by all nodes at once.
-func TestListCallsAreApart(t *testing.T) {
+// Nodes that start together don't all request the list at once. A failed call or a lost subscription is
+// followed by another call that is early enough for the time limit, however many failed before, and not by
+// those of all nodes at once.
+func TestListCallsAreSpreadOut(t *testing.T) {
 	const nodes = 80
-	for within, latest := range map[time.Duration]time.Duration{0: maxUpdateDelay, time.Second: time.Second,
+	for within, limit := range map[time.Duration]time.Duration{0: maxUpdateDelay, time.Second: time.Second,
 		10 * time.Second: maxUpdateDelay} {
-		firsts, agains := make([]int, 10), map[time.Duration]bool{} // first calls of each tenth of their time
+		firstCalls, retryWaits := make([]int, 10), map[time.Duration]bool{} // first calls by tenth of the period they are spread over
 		for n := range nodes {
-			set := site(nodes)
+			set := testSettings(nodes)
 			set.Node, set.Subscribe, set.Rules.ListRefreshWithin = n, true, within
 			b, err := New(set, 0, 7)
 			if err != nil {
 				t.Fatal(err)
 			}
-			wait := func(kind ListKind, least, most time.Duration) time.Duration {
-				timers := of(b.Handle(b.now, MemberList{Kind: kind}), SetTimer)
-				if len(timers) != 1 || timers[0].Wait < least || timers[0].Wait > most {
-					t.Fatalf("within %v, after %v: %+v, want a call from %v to %v", within, kind, timers, least, most)
+			wait := func(kind ListKind, minWait, maxWait time.Duration) time.Duration {
+				timers := actionsOfKind(b.Handle(b.now, MemberList{Kind: kind}), SetTimer)
+				if len(timers) != 1 || timers[0].Wait < minWait || timers[0].Wait > maxWait {
+					t.Fatalf("within %v, after %v: %+v, want one timer of %v to %v", within, kind, timers, minWait, maxWait)
 				}
-				if len(of(b.Handle(b.now+timers[0].Wait, Timer{Token: timers[0].Token}), WatchList)) != 1 {
-					t.Fatal("the list is not asked for")
+				if len(actionsOfKind(b.Handle(b.now+timers[0].Wait, Timer{Token: timers[0].Token}), WatchList)) != 1 {
+					t.Fatal("the list is not requested")
 				}
 				return timers[0].Wait
 			}
-			spread := min(latest*2/3, nodes*firstCallSpacing)
-			firsts[int(10*wait(ListRestored, 0, spread)/(spread+1))]++
+			spread := min(limit*2/3, nodes*firstCallSpacing)
+			firstCalls[int(10*wait(ListRestored, 0, spread)/(spread+1))]++
 			for range 5 {
-				agains[wait(ListUnavailable, latest/8, latest*3/8)] = true
+				retryWaits[wait(ListUnavailable, limit/8, limit*3/8)] = true
 			}
 		}
-		if most := slices.Max(firsts); most > 20 {
-			t.Errorf("within %v: first calls in tenths of their time: %v, want at most 20 in each", within, firsts)
+		if busiest := slices.Max(firstCalls); busiest > 20 {
+			t.Errorf("within %v: first calls by tenth of their period: %v, want at most 20 in each", within, firstCalls)
 		}
-		if len(agains) != 5*nodes {
-			t.Errorf("within %v: %d nodes repeat five calls after only %d different waits", within, nodes, len(agains))
+		if len(retryWaits) != 5*nodes {
+			t.Errorf("within %v: %d nodes with five retries each use only %d different waits", within, nodes, len(retryWaits))
 		}
 	}
 }
 
-// A request whose attempt was called off because its server began to leave goes to another that stays, and
-// nobody is blamed.
-func TestLeavingServersAreLeftOutOfRetriesAndBlame(t *testing.T) {
+// A request whose connect was cancelled because its server drains, or left the list, is retried at a running
+// server, and the failure isn't counted against any server.
+func TestDepartingServersGetNoRetriesAndNoFaults(t *testing.T) {
 	for _, kind := range []ListKind{ListUpdate, ListReplace} {
-		b := start(t, site(1), members(3))
-		at := map[string]string{}
+		b := newTestBalancer(t, testSettings(1), members(3))
+		servers := map[string]string{}
 		for _, id := range []string{"a", "b", "c"} {
-			at[id] = sentTo(t, b.Handle(ms, ask(id, "read")))
+			servers[id] = sentTo(t, b.Handle(ms, newRequest(id, "read")))
 		}
-		if at["a"] != at["b"] || at["a"] != at["c"] {
-			t.Fatalf("sent to %v, want one server", at)
+		if servers["a"] != servers["b"] || servers["a"] != servers["c"] {
+			t.Fatalf("sent to %v, want one server", servers)
 		}
 		list := members(3)
 		for i := range list {
-			if list[i].Server == at["a"] {
+			if list[i].Server == servers["a"] {
 				list[i].Availability = Draining
 			}
 		}
@@ -899,111 +917,111 @@
 			list = slices.DeleteFunc(list, func(m Member) bool { return m.Availability == Draining })
 		}
 		b.Handle(2*ms, MemberList{Kind: kind, Members: list})
-		bad, blame := b.badFraction, b.faultWeight
+		badFraction, faultWeight := b.badFraction, b.faultWeight
 		for i, id := range []string{"a", "b", "c"} {
-			if to := sentTo(t, b.Handle(Time(3+i)*ms, outcome(id, 0, at[id], ConnectFailed, ms))); to == at["a"] {
-				t.Errorf("kind %v: %s goes to the leaving server again", kind, id)
+			if to := sentTo(t, b.Handle(Time(3+i)*ms, newOutcome(id, 0, servers[id], ConnectFailed, ms))); to == servers["a"] {
+				t.Errorf("kind %v: %s is sent to the departing server again", kind, id)
 			}
 		}
-		if b.badFraction != bad || b.faultWeight != blame {
-			t.Errorf("kind %v: bad answers %v, were %v; blame %v, was %v", kind, b.badFraction, bad, b.faultWeight, blame)
+		if b.badFraction != badFraction || b.faultWeight != faultWeight {
+			t.Errorf("kind %v: fraction of bad answers %v, was %v; fault weight %v, was %v", kind, b.badFraction, badFraction, b.faultWeight, faultWeight)
 		}
 	}
 }
 
-// A request that waits for room does not go to a server that begins to leave meanwhile, though that has room.
-func TestHeldRequestsPassLeavingServersOver(t *testing.T) {
-	b := start(t, site(1), members(2))
-	var at []string
-	held := ""
-	for i := 0; held == ""; i++ {
+// A queued request isn't sent to a server that started to drain meanwhile, even if that server has room.
+func TestQueuedRequestsSkipDrainingServers(t *testing.T) {
+	b := newTestBalancer(t, testSettings(1), members(2))
+	var servers []string
+	queuedID := ""
+	for i := 0; queuedID == ""; i++ {
 		id := fmt.Sprint("r", i)
-		if sends := of(b.Handle(ms, ask(id, "read")), Send); len(sends) == 0 {
-			held = id
+		if sends := actionsOfKind(b.Handle(ms, newRequest(id, "read")), Send); len(sends) == 0 {
+			queuedID = id
 		} else {
-			at = append(at, sends[0].Server)
+			servers = append(servers, sends[0].Server)
 		}
 	}
 	list := members(2)
 	list[0].Availability = Draining
 	acts := slices.Clone(b.Handle(2*ms, MemberList{Kind: ListUpdate, Members: list}))
-	for i, server := range at { // the leaving one has room first
-		if server == list[0].Server {
-			acts = append(acts, b.Handle(3*ms, outcome(fmt.Sprint("r", i), 0, server, OK, ms))...)
+	for i, serverID := range servers { // the draining server has room first
+		if serverID == list[0].Server {
+			acts = append(acts, b.Handle(3*ms, newOutcome(fmt.Sprint("r", i), 0, serverID, OK, ms))...)
 		}
 	}
 	acts = append(acts, b.Handle(3*ms+queuePollInterval, Timer{Token: queueToken})...)
-	for _, a := range of(acts, Send) {
-		t.Errorf("%s went to %s", a.ID, a.Server)
+	for _, a := range actionsOfKind(acts, Send) {
+		t.Errorf("%s was sent to %s", a.ID, a.Server)
 	}
-	for i, server := range at {
-		if server == list[1].Server {
-			b.Handle(40*ms, outcome(fmt.Sprint("r", i), 0, server, OK, ms))
+	for i, serverID := range servers {
+		if serverID == list[1].Server {
+			b.Handle(40*ms, newOutcome(fmt.Sprint("r", i), 0, serverID, OK, ms))
 			break
 		}
 	}
-	if to := sentTo(t, b.Handle(40*ms, Timer{Token: queueToken})); to != list[1].Server {
-		t.Errorf("the held request went to %s, want %s", to, list[1].Server)
+	if serverID := sentTo(t, b.Handle(40*ms, Timer{Token: queueToken})); serverID != list[1].Server {
+		t.Errorf("the queued request was sent to %s, want %s", serverID, list[1].Server)
 	}
 }
 
-// A hung server fills up: its full answers don't show that servers shed early.
-func TestFullAnswersOfSuspectsDontCount(t *testing.T) {
+// Full answers of a server that may be hung don't show that servers shed early: a hung server fills up too.
+func TestFullAnswersOfHungServersDontCount(t *testing.T) {
 	for score, want := range map[float64]bool{0: true, 0.4: false} {
-		b := start(t, site(1), members(2))
+		b := newTestBalancer(t, testSettings(1), members(2))
 		b.order()[0].health.score = score
 		for range 40 {
 			b.updateThreshold(b.order()[0], b.classList[0], Full, ms)
 		}
 		if b.serversShedEarly() != want {
-			t.Errorf("with a score of %v: sheds early %v, want %v", score, !want, want)
+			t.Errorf("with a score of %v: shed early %v, want %v", score, !want, want)
 		}
 	}
 }
 
-// Offers after full answers cost a part of a further attempt, but only where servers shed early, nothing
-// ran, and the site states no budget.
-func TestOffersAreCheapWhereServersShedEarly(t *testing.T) {
-	for _, c := range []struct {
-		early, ran bool
-		budget     *AttemptBudget
-		want       int
+// A retry after a full answer is charged as a fraction of an attempt, but only where servers shed early,
+// nothing of the request may have run, and the settings have no budget.
+func TestRetriesAreCheapWhereServersShedEarly(t *testing.T) {
+	for _, tc := range []struct {
+		shedEarly, ran bool
+		budget         *AttemptBudget
+		want           int
 	}{
-		{early: true, want: 3}, // 20 times 0.15
-		{early: false, want: 20},
-		{early: true, ran: true, want: 20},
-		{early: true, budget: &AttemptBudget{MinExtra: 50, Span: time.Second}, want: 20},
+		{shedEarly: true, want: 3}, // 20 times the fullRetryCost of 0.15
+		{shedEarly: false, want: 20},
+		{shedEarly: true, ran: true, want: 20},
+		{shedEarly: true, budget: &AttemptBudget{MinExtra: 50, Span: time.Second}, want: 20},
 	} {
-		set := site(1)
-		set.Rules.AttemptBudget = c.budget
-		b := start(t, set, members(2))
-		if c.early {
+		set := testSettings(1)
+		set.Rules.AttemptBudget = tc.budget
+		b := newTestBalancer(t, set, members(2))
+		if tc.shedEarly {
 			b.fullFraction = 1
 		}
 		r := &request{}
-		if c.ran {
+		if tc.ran {
 			r.firstRun = &attempt{}
 		}
 		for range 20 {
 			b.chargeRetry(r)
 		}
-		if got := len(b.recentExtra); got < c.want-1 || got > c.want {
-			t.Errorf("%+v: %d attempts booked", c, got)
+		if got := len(b.recentExtra); got < tc.want-1 || got > tc.want {
+			t.Errorf("%+v: %d attempts charged", tc, got)
 		}
 	}
 }
 
-// Faults that all servers have alike neither close thresholds nor eject; a server that has many more
-// is ejected all the same, and where others have none it takes two in a row.
-func TestFaultsThatAllHaveTellLittle(t *testing.T) {
-	try := func(b *Balancer, now Time, s *server, code Code) {
+// Faults that all servers have in common neither close thresholds nor eject servers. A server with many more
+// faults is still ejected, and if the others have none, two in a row suffice.
+func TestCommonFaultsWeighLittle(t *testing.T) {
+	send := func(b *Balancer, now Time, s *server, code Code) {
 		id := fmt.Sprint(now)
 		b.requests[id] = &request{id: id, class: b.classes["once"], deadline: now + time.Second}
 		b.send(b.requests[id], s, false)
-		b.Handle(now+20*ms, outcome(id, 0, s.Server, code, 20*ms))
+		b.Handle(now+20*ms, newOutcome(id, 0, s.Server, code, 20*ms))
 	}
-	b := start(t, site(1), members(6))
-	first := b.servers["s00"].threshold
+	b := newTestBalancer(t, testSettings(1), members(6))
+	initial := b.servers["s00"].threshold
 	now := Time(0)
 	for i := range 1200 { // one in ten, and sometimes two in a row
 		now += 25 * ms
@@ -1011,409 +1029,411 @@
 		if k := i / 6 % 20; k == 7 || k == 8 {
 			code = Reset
 		}
-		try(b, now, b.order()[i%6], code)
+		send(b, now, b.order()[i%6], code)
 		if n := b.fleet.ejectedCount; n > 0 {
 			t.Fatalf("%d ejected after %d outcomes", n, i)
 		}
 	}
 	for _, s := range b.order() {
-		if s.threshold < first/2 {
-			t.Errorf("%s: threshold %v, was %v", s.Server, s.threshold, first)
+		if s.threshold < initial/2 {
+			t.Errorf("%s: threshold %v, was %v", s.Server, s.threshold, initial)
 		}
 	}
-	b.eject(b.order()[0], false) // for once
+	b.eject(b.order()[0], false) // by hand, for the trial below
 	now += 5 * time.Second
 	b.requests["trial"] = &request{id: "trial", class: b.classes["free"], deadline: now + time.Second}
 	b.send(b.requests["trial"], b.order()[0], true)
-	b.Handle(now, outcome("trial", 0, "s00", ConnectFailed, 0))
+	b.Handle(now, newOutcome("trial", 0, "s00", ConnectFailed, 0))
 	if h := b.order()[0].health; !h.ejected || h.ejectedUntil != now+baseEjectionTime {
-		t.Errorf("a trial that failed by what all have alike puts the next off by %v", h.ejectedUntil-now)
+		t.Errorf("a trial that failed by a common fault delays the next by %v", h.ejectedUntil-now)
 	}
 	if b.badFraction > maxBadFraction {
 		t.Errorf("%v of the answers count as bad", b.badFraction)
 	}
-	bad := b.servers["s03"]
+	faulty := b.servers["s03"]
 	for range 10 {
 		now += 25 * ms
-		try(b, now, bad, ServerError)
+		send(b, now, faulty, ServerError)
 	}
-	if !bad.health.ejected {
-		t.Errorf("a server that always fails is not ejected; score %v", bad.health.score)
+	if !faulty.health.ejected {
+		t.Errorf("a server that always fails is not ejected; score %v", faulty.health.score)
 	}
 
-	b = start(t, site(1), members(6))
+	b = newTestBalancer(t, testSettings(1), members(6))
 	for range 5 {
 		for _, s := range b.order() {
 			now += 25 * ms
-			try(b, now, s, OK)
+			send(b, now, s, OK)
 		}
 	}
 	for range 2 {
 		now += 25 * ms
-		try(b, now, b.order()[1], Reset)
+		send(b, now, b.order()[1], Reset)
 	}
 	if !b.order()[1].health.ejected {
-		t.Error("two faults in a row, and none at others: not ejected")
+		t.Error("not ejected after two faults in a row and none at other servers")
 	}
 }
 
-// Also where nothing is ever sent again, what the budget of attempts counts by doesn't grow.
-func TestRequestsTakenAreForgotten(t *testing.T) {
-	b := start(t, site(1), members(2))
+// The request times that the retry budget counts don't accumulate, even if nothing is ever retried.
+func TestRecentRequestsAreBounded(t *testing.T) {
+	b := newTestBalancer(t, testSettings(1), members(2))
 	for i := range 5000 {
-		b.Handle(Time(i)*10*ms, ask(fmt.Sprint(i), "free"))
+		b.Handle(Time(i)*10*ms, newRequest(fmt.Sprint(i), "free"))
 		b.Handle(Time(i)*10*ms, ClientGone{ID: fmt.Sprint(i)})
 	}
 	if n := len(b.recentRequests); n > 1100 {
-		t.Errorf("%d times kept for a span of %v", n, b.attemptBudget.Span)
+		t.Errorf("%d request times kept for a span of %v", n, b.attemptBudget.Span)
 	}
 }
 
-// A client that is turned away still has half of its time to go elsewhere.
-func TestHeldRequestsAreRefusedWithinHalfTheirTime(t *testing.T) {
-	b := start(t, site(1), nil)
-	e := ask("x", "free")
-	e.ExpiresIn = 100 * ms // less than the class's aim
-	acts := b.Handle(ms, e)
+// A client that is refused still has half of its time to retry elsewhere.
+func TestQueuedRequestsAreRefusedWithinHalfTheirTime(t *testing.T) {
+	b := newTestBalancer(t, testSettings(1), nil)
+	event := newRequest("x", "free")
+	event.ExpiresIn = 100 * ms // less than the aim of the class
+	acts := b.Handle(ms, event)
 	for now := ms; now <= 51*ms; now += queuePollInterval {
 		acts = append(acts, b.Handle(now, Timer{Token: queueToken})...)
 	}
-	if len(of(acts, Refuse)) != 1 {
+	if len(actionsOfKind(acts, Refuse)) != 1 {
 		t.Errorf("not refused within half of its time: %+v", acts)
 	}
 }
 
-// An attempt given up frees nothing at its server: it counts among what the server holds until an attempt
-// sent later is answered, or until no client could still wait for it.
-func TestGivenUpAttemptsStillFillTheirServer(t *testing.T) {
-	for _, c := range []struct {
-		name string
-		then func(b *Balancer, s *server)
-		want int
+// A timeout frees nothing at the server: an abandoned attempt counts as outstanding until an attempt sent
+// later is answered, or until its deadline.
+func TestAbandonedAttemptsCountAsOutstanding(t *testing.T) {
+	for _, tc := range []struct {
+		name  string
+		event func(b *Balancer, s *server)
+		want  int
 	}{
-		{"nothing since", func(*Balancer, *server) {}, 3},
-		{"an answer to an earlier one", func(b *Balancer, s *server) {
-			b.Handle(260*ms, outcome("early", 0, s.Server, OK, 260*ms))
-		}, 2}, // that one itself is gone
-		{"an answer to a later one", func(b *Balancer, s *server) {
-			b.Handle(260*ms, outcome("late", 0, s.Server, OK, 10*ms))
-		}, 1}, // and only the early one is left
-		{"a fast error to a later one", func(b *Balancer, s *server) {
-			b.Handle(260*ms, outcome("late", 0, s.Server, ServerError, 10*ms))
+		{"no answer since", func(*Balancer, *server) {}, 3},
+		{"an answer to an earlier attempt", func(b *Balancer, s *server) {
+			b.Handle(260*ms, newOutcome("early", 0, s.Server, OK, 260*ms))
+		}, 2}, // the early attempt itself has ended
+		{"an answer to a later attempt", func(b *Balancer, s *server) {
+			b.Handle(260*ms, newOutcome("late", 0, s.Server, OK, 10*ms))
+		}, 1}, // only the early attempt is left
+		{"a fast error of a later attempt", func(b *Balancer, s *server) {
+			b.Handle(260*ms, newOutcome("late", 0, s.Server, ServerError, 10*ms))
 		}, 2},
 		{"the deadline", func(b *Balancer, s *server) { b.now = 10*ms + 600*ms }, 2},
 	} {
-		b := start(t, site(1), members(1))
+		b := newTestBalancer(t, testSettings(1), members(1))
 		s := b.order()[0]
 		s.threshold = 3
-		for _, e := range []struct {
+		for _, sent := range []struct {
 			id string
 			at Time
 		}{{"early", 0}, {"slow", 10 * ms}, {"late", 250 * ms}} {
-			b.requests[e.id] = &request{id: e.id, class: b.classes["once"], deadline: time.Second, usefulUntil: time.Second}
-			b.now = e.at
-			b.send(b.requests[e.id], s, false)
+			b.requests[sent.id] = &request{id: sent.id, class: b.classes["once"], deadline: time.Second, usefulUntil: time.Second}
+			b.now = sent.at
+			b.send(b.requests[sent.id], s, false)
 		}
-		b.Handle(255*ms, outcome("slow", 0, s.Server, TimedOut, 245*ms))
+		b.Handle(255*ms, newOutcome("slow", 0, s.Server, TimedOut, 245*ms))
 		if s.inflight != 2 {
-			t.Fatalf("%s: %d attempts out, want 2", c.name, s.inflight)
+			t.Fatalf("%s: %d attempts in flight, want 2", tc.name, s.inflight)
 		}
-		c.then(b, s)
-		if got := b.outstanding(s); got != c.want {
-			t.Errorf("%s: the server holds %d, want %d", c.name, got, c.want)
+		tc.event(b, s)
+		if got := b.outstanding(s); got != tc.want {
+			t.Errorf("%s: %d attempts outstanding, want %d", tc.name, got, tc.want)
 		}
-		s.threshold = float64(c.want)
+		s.threshold = float64(tc.want)
 		if b.hasRoom(s) {
-			t.Errorf("%s: room beyond a threshold of %d", c.name, c.want)
+			t.Errorf("%s: room beyond a threshold of %d", tc.name, tc.want)
 		}
 	}
 }
 
-// A server that has been silent for far longer than its answers are apart gets nothing new, however much
-// room its threshold leaves, until it answers.
-func TestStalledServersGetNothingNew(t *testing.T) {
-	b := start(t, site(1), members(2))
+// A server that has been silent for several times the mean interval between its answers gets nothing new
+// until it answers, however much room its threshold leaves.
+func TestHungServersGetNothingNew(t *testing.T) {
+	b := newTestBalancer(t, testSettings(1), members(2))
 	s := b.order()[0]
 	s.meanLatency, s.threshold = 0.1, 8
 	var ids []string
 	send := func(now Time) string {
 		id := fmt.Sprint("r", len(ids))
 		ids = append(ids, id)
-		return sentTo(t, b.Handle(now, ask(id, "free")))
+		return sentTo(t, b.Handle(now, newRequest(id, "free")))
 	}
-	for i := range 4 { // answers are 25 ms apart at this depth
+	for i := range 4 { // with four in flight, answers are 25 ms apart
 		if got := send(time.Second + Time(i)*ms); got != s.Server {
-			t.Fatalf("sent to %s, want the first in order", got)
+			t.Fatalf("sent to %s, want the first in packing order", got)
 		}
 	}
 	if got := send(time.Second + 100*ms); got != s.Server {
-		t.Errorf("after four mean gaps: sent to %s, want %s", got, s.Server)
+		t.Errorf("after four mean intervals of silence: sent to %s, want %s", got, s.Server)
 	}
 	if got := send(time.Second + 200*ms); got == s.Server {
-		t.Errorf("after ten mean gaps of silence: sent to %s all the same", got)
+		t.Errorf("after ten mean intervals of silence: still sent to %s", got)
 	}
-	b.Handle(time.Second+210*ms, outcome(ids[0], 0, s.Server, OK, 210*ms))
+	b.Handle(time.Second+210*ms, newOutcome(ids[0], 0, s.Server, OK, 210*ms))
 	s.meanLatency = 0.1
 	if got := send(time.Second + 220*ms); got != s.Server {
 		t.Errorf("after an answer: sent to %s, want %s", got, s.Server)
 	}
 	for _, r := range slices.Collect(maps.Values(b.requests)) {
-		b.Handle(time.Second+230*ms, outcome(r.id, 0, r.attempts[0].server.Server, OK, 30*ms))
+		b.Handle(time.Second+230*ms, newOutcome(r.id, 0, r.attempts[0].server.Server, OK, 30*ms))
 	}
 	if got := send(time.Minute); got != s.Server {
 		t.Errorf("after a pause without requests: sent to %s, want %s", got, s.Server)
 	}
 }
 
-// A threshold stops growing well before answers are late: at half the aim a server has fallen behind.
+// A threshold stops growing well before answers are late: an answer that takes half of the aim shows that
+// queues build up.
 func TestThresholdsFallBeforeAnswersAreLate(t *testing.T) {
-	for _, c := range []struct {
+	for _, tc := range []struct {
 		latency time.Duration
 		grows   bool
 	}{{25 * ms, true}, {80 * ms, true}, {125 * ms, false}, {240 * ms, false}} { // of an aim of 250 ms
-		b := start(t, site(1), members(1))
+		b := newTestBalancer(t, testSettings(1), members(1))
 		s := b.order()[0]
-		was := s.threshold
-		s.inflight = int(was) // full, so that the threshold is felt
-		b.updateThreshold(s, b.classes["free"], OK, c.latency)
-		if grows := s.threshold > was; grows != c.grows {
-			t.Errorf("an answer after %v: threshold %v, was %v", c.latency, s.threshold, was)
+		before := s.threshold
+		s.inflight = int(before) // full, so that the threshold limits sends
+		b.updateThreshold(s, b.classes["free"], OK, tc.latency)
+		if grows := s.threshold > before; grows != tc.grows {
+			t.Errorf("an answer after %v: threshold %v, was %v", tc.latency, s.threshold, before)
 		}
 	}
 }
 
-// A machine whose answers are slow by its own speed keeps room for a few attempts of each of two nodes:
-// it has several cores, and with less it would stand idle while buckets refuse for want of room.
-func TestSlowMachinesKeepRoomForAFew(t *testing.T) {
-	b := start(t, site(2), members(1))
+// A server whose answers are slow because its cores are keeps room for a few attempts of each of two nodes:
+// it has several cores, and with less room it would be idle while buckets refuse requests for lack of room.
+func TestSlowServersKeepRoomForAFewAttempts(t *testing.T) {
+	b := newTestBalancer(t, testSettings(2), members(1))
 	s := b.order()[0]
 	for range 200 {
 		b.updateThreshold(s, b.classes["free"], OK, 240*ms)
 	}
-	for out, want := range map[int]bool{0: true, 1: true, 2: true, 3: false} {
-		s.inflight = out
+	for inFlight, want := range map[int]bool{0: true, 1: true, 2: true, 3: false} {
+		s.inflight = inFlight
 		if got := b.hasRoom(s); got != want {
-			t.Errorf("with %d attempts out: room %v, want %v", out, got, want)
+			t.Errorf("with %d attempts in flight: room %v, want %v", inFlight, got, want)
 		}
 	}
 }
 
-// The aim of a retry counts from its client's first try, as far as its time left tells: past the aim it
-// is answered at once, takes no token, and goes to no server.
-func TestRetriesEarnNothingPastTheFirstAim(t *testing.T) { // aims of 250 ms, deadlines of 600 ms
-	for _, c := range []struct {
+// The aim of a retry counts from its client's first try, as far as the time left shows when that was. A retry
+// past the aim is refused at once, takes no token and is sent to no server.
+func TestRetriesPastTheFirstAimAreRefused(t *testing.T) { // aims of 250 ms, deadlines of 600 ms
+	for _, tc := range []struct {
 		name         string
-		first, retry time.Duration // how long the client would wait for either
+		first, retry time.Duration // how long the client waits for each try
 		sent         bool
-		until        Time // of the attempt, from the retry's arrival on
+		until        Time // time limit of the attempt, from the arrival of the retry
 	}{
-		{"refused at once", 600 * ms, 595 * ms, true, 250 * ms},
-		{"half of the aim gone", 600 * ms, 476 * ms, true, 150 * ms},
+		{"first try refused at once", 600 * ms, 595 * ms, true, 250 * ms},
+		{"half of the aim has passed", 600 * ms, 476 * ms, true, 150 * ms},
 		{"past the aim", 600 * ms, 310 * ms, false, 0},
-		{"single tries are given up early", 320 * ms, 320 * ms, true, 250 * ms},
-		{"little is left after those", 320 * ms, 200 * ms, false, 0},
-		{"the last of them waits for all that is left", 320 * ms, 500 * ms, true, 174 * ms},
+		{"clients have a per-try timeout", 320 * ms, 320 * ms, true, 250 * ms},
+		{"little time left after a per-try timeout", 320 * ms, 200 * ms, false, 0},
+		{"the last try waits for all the time left", 320 * ms, 500 * ms, true, 174 * ms},
 	} {
-		set := site(1)
+		set := testSettings(1)
 		set.Tenants[0].Quota = 4
-		b := start(t, set, members(2))
+		b := newTestBalancer(t, set, members(2))
 		const now = time.Minute
-		e := ask("first", "free")
-		e.ExpiresIn = c.first
-		b.Handle(now, e)
+		event := newRequest("first", "free")
+		event.ExpiresIn = tc.first
+		b.Handle(now, event)
 		before := b.buckets[bucketKey{tenant: "t"}].tokens
-		e = ask("again", "free")
-		e.ExpiresIn, e.Retry = c.retry, true
-		acts := b.Handle(now, e)
+		event = newRequest("again", "free")
+		event.ExpiresIn, event.Retry = tc.retry, true
+		acts := b.Handle(now, event)
 		spent := before - b.buckets[bucketKey{tenant: "t"}].tokens
-		if got := len(of(acts, Send)) == 1; got != c.sent || got != (spent == 1) || got == (len(of(acts, Refuse)) == 1) {
-			t.Errorf("%s: sent %v, %d tokens taken, want %v: %+v", c.name, got, spent, c.sent, acts)
+		if got := len(actionsOfKind(acts, Send)) == 1; got != tc.sent || got != (spent == 1) || got == (len(actionsOfKind(acts, Refuse)) == 1) {
+			t.Errorf("%s: sent %v, %d tokens taken, want %v: %+v", tc.name, got, spent, tc.sent, acts)
 			continue
 		}
-		if c.sent && of(acts, Send)[0].Until != now+c.until {
-			t.Errorf("%s: waits %v for it, want %v", c.name, of(acts, Send)[0].Until-now, c.until)
+		if tc.sent && actionsOfKind(acts, Send)[0].Until != now+tc.until {
+			t.Errorf("%s: time limit of the attempt %v, want %v", tc.name, actionsOfKind(acts, Send)[0].Until-now, tc.until)
 		}
 	}
 }
 
-// A server ejected for silence is tried once a second and is back with its first answer; one ejected for
-// what it answered is put off for longer each time, and must answer well three times.
-func TestSilentServersComeBackWithTheirFirstAnswer(t *testing.T) {
-	for _, c := range []struct {
-		code   Code
-		offs   []time.Duration // from each ejection to the next trial
-		trials int             // good ones until it is back
+// A server ejected for silence gets a trial once a second, and its first answer readmits it. One ejected for
+// its answers waits longer before each trial, and is readmitted after trialsNeeded good ones.
+func TestSilentServersAreReadmittedByTheirFirstAnswer(t *testing.T) {
+	for _, tc := range []struct {
+		code      Code
+		durations []time.Duration // from each ejection to the next trial
+		trials    int             // good ones that readmit it
 	}{
 		{TimedOut, []time.Duration{time.Second, time.Second, time.Second}, 1},
 		{ServerError, []time.Duration{time.Second, 2 * time.Second, 4 * time.Second}, trialsNeeded},
 	} {
-		set := site(1)
-		set.Allowed.ConnIdle = 500 * ms // so that no trial goes out on a connection that may be gone
-		b := start(t, set, members(6))
+		set := testSettings(1)
+		set.Allowed.ConnIdle = 500 * ms // so that no trial uses a connection that may be closed
+		b := newTestBalancer(t, set, members(6))
 		s, now := b.order()[0], time.Minute
 		b.now = now
-		for _, other := range b.order() { // all answer, and no others fail
+		for _, other := range b.order() { // all have answered, and no other server has faults
 			other.lastAnswer = now
 			b.rankFaults(other)
 		}
 		for !s.health.ejected {
-			b.recordFailure(s, failWeight, c.code)
+			b.recordFailure(s, failWeight, tc.code)
 		}
-		try := func(code Code) {
+		runTrial := func(code Code) {
 			id := fmt.Sprint(now)
-			b.savedTrials = maxSavedTrials // others have come meanwhile
-			if got := sentTo(t, b.Handle(now, ask(id, "free"))); got != s.Server {
-				t.Fatalf("%v: the trial at %v went to %s", c.code, now, got)
+			b.savedTrials = maxSavedTrials // as if other requests had arrived meanwhile
+			if got := sentTo(t, b.Handle(now, newRequest(id, "free"))); got != s.Server {
+				t.Fatalf("%v: the trial at %v was sent to %s", tc.code, now, got)
 			}
 			now += 200 * ms
-			b.Handle(now, outcome(id, 0, s.Server, code, 200*ms))
+			b.Handle(now, newOutcome(id, 0, s.Server, code, 200*ms))
 		}
-		for i, off := range c.offs {
-			if got := s.health.ejectedUntil - now; got != off {
-				t.Errorf("%v: ejection %d lasts %v, want %v", c.code, i, got, off)
+		for i, duration := range tc.durations {
+			if got := s.health.ejectedUntil - now; got != duration {
+				t.Errorf("%v: ejection %d lasts %v, want %v", tc.code, i, got, duration)
 			}
 			now = s.health.ejectedUntil
-			try(c.code)
+			runTrial(tc.code)
 		}
 		now = s.health.ejectedUntil
-		for n := 1; n <= c.trials; n++ {
+		for n := 1; n <= tc.trials; n++ {
 			if !s.health.ejected {
-				t.Errorf("%v: back after %d good trials, want %d", c.code, n-1, c.trials)
+				t.Errorf("%v: readmitted after %d good trials, want %d", tc.code, n-1, tc.trials)
 			}
-			try(OK)
+			runTrial(OK)
 		}
 		if s.health.ejected {
-			t.Errorf("%v: still out after %d good trials", c.code, c.trials)
+			t.Errorf("%v: still ejected after %d good trials", tc.code, tc.trials)
 		}
 	}
 }
 
-// Where nodes are many, one whose answers come late has less and less out, whichever servers they came from: all nodes
-// together would jam one server after the other, long before any of them has learned of each. It has more out again as
-// answers come in time; errors and refusals tell nothing of that.
-func TestManyNodesEaseOffWithLateAnswers(t *testing.T) {
-	for name, c := range map[string]struct {
+// With many nodes, late answers reduce the attempts that a node has in flight, whichever servers they come
+// from: otherwise all nodes together would overload one server after the other before any node has learned
+// about each. Answers in time raise the number again; errors and full answers have no effect on it.
+func TestManyNodesSendLessAfterLateAnswers(t *testing.T) {
+	for name, tc := range map[string]struct {
 		code    Code
 		latency time.Duration
-		less    bool
-	}{"time-outs": {TimedOut, 250 * ms, true}, "late answers": {OK, 300 * ms, true}, "slow ones in time": {OK, 200 * ms, false},
-		"errors": {ServerError, ms, false}, "refusals": {Full, ms, false}, "answers in time": {OK, ms, false}} {
-		set := site(300)
-		set.Node, set.Tenants = 7, nil // no buckets
-		b := start(t, set, members(200))
+		reduced bool
+	}{"timeouts": {TimedOut, 250 * ms, true}, "late answers": {OK, 300 * ms, true}, "slow answers in time": {OK, 200 * ms, false},
+		"errors": {ServerError, ms, false}, "full answers": {Full, ms, false}, "answers in time": {OK, ms, false}} {
+		set := testSettings(300)
+		set.Node, set.Tenants = 7, nil // no rate limits
+		b := newTestBalancer(t, set, members(200))
 		now, n := time.Minute, 0
 		answer := func(times int, code Code, latency time.Duration) {
 			for range times {
 				n++
 				now += 100 * ms
-				sent := of(b.Handle(now, ask(fmt.Sprint(n), "once")), Send)
-				for attempt := 0; len(sent) > 0; attempt++ { // what was refused is sent again
-					sent = of(b.Handle(now, outcome(sent[0].ID, attempt, sent[0].Server, code, latency)), Send)
+				sent := actionsOfKind(b.Handle(now, newRequest(fmt.Sprint(n), "once")), Send)
+				for attempt := 0; len(sent) > 0; attempt++ { // a full answer is followed by a retry
+					sent = actionsOfKind(b.Handle(now, newOutcome(sent[0].ID, attempt, sent[0].Server, code, latency)), Send)
 				}
 			}
 		}
-		// most is how many requests can be out at once.
-		most := func() int {
-			now += time.Minute // nobody works on what was given up
+		// maxInFlight returns how many requests can be in flight at once.
+		maxInFlight := func() int {
+			now += time.Minute // abandoned attempts don't count any more
 			for _, s := range b.order() {
 				b.setEjected(s, false)
 				s.health, s.threshold, s.lastSend = health{}, b.initialThreshold(s), 0
 			}
-			var out []Action
+			var sends []Action
 			for range 20 {
 				n++
-				out = append(out, of(b.Handle(now, ask(fmt.Sprint(n), "once")), Send)...)
+				sends = append(sends, actionsOfKind(b.Handle(now, newRequest(fmt.Sprint(n), "once")), Send)...)
 			}
-			for _, a := range out {
+			for _, a := range sends {
 				b.Handle(now, ClientGone{a.ID})
-				b.Handle(now, outcome(a.ID, 0, a.Server, Cancelled, ms))
+				b.Handle(now, newOutcome(a.ID, 0, a.Server, Cancelled, ms))
 			}
 			now += time.Minute
-			b.Handle(now, Timer{Token: queueToken}) // who was held is refused
-			return len(out)
+			b.Handle(now, Timer{Token: queueToken}) // refuses the queued requests
+			return len(sends)
 		}
-		all := most()
-		if all < 5 {
-			t.Fatalf("%d requests can be out at first", all)
+		initial := maxInFlight()
+		if initial < 5 {
+			t.Fatalf("%d requests can be in flight initially, want at least 5", initial)
 		}
-		answer(40, c.code, c.latency)
-		if got := most(); c.less && got > all/3 || !c.less && got < all {
-			t.Errorf("after %s, %d requests can be out, %d at first", name, got, all)
+		answer(40, tc.code, tc.latency)
+		if got := maxInFlight(); tc.reduced && got > initial/3 || !tc.reduced && got < initial {
+			t.Errorf("after %s, %d requests can be in flight, initially %d", name, got, initial)
 		}
 		answer(400, OK, ms)
-		if got := most(); got <= all/2 {
-			t.Errorf("after %s and answers in time, %d requests can be out, %d at first", name, got, all)
+		if got := maxInFlight(); got <= initial/2 {
+			t.Errorf("after %s and answers in time, %d requests can be in flight, initially %d", name, got, initial)
 		}
 	}
 }
 
-// A third of many servers falls silent for a node with little traffic. Its trials take a small part of its requests,
-// for those of all nodes together would keep the servers jammed; once the servers answer, it soon uses all again.
+// A third of many servers falls silent for a node with little traffic. Its trials use only a small fraction
+// of its requests, because the trials of all nodes together would keep the servers overloaded. Once the
+// servers answer, the node soon uses all of them again.
 func TestTrialsOfManySilentServersTakeFewRequests(t *testing.T) {
-	const servers, silent, gap = 60, 20, 50 * ms
-	set := site(300)
+	const servers, silentCount, gap = 60, 20, 50 * ms
+	set := testSettings(300)
 	set.Node = 7
-	b := start(t, set, members(servers))
-	now, n, dead := time.Minute, 0, map[string]bool{}
-	for _, s := range b.order()[:silent] {
-		dead[s.Server] = true
+	b := newTestBalancer(t, set, members(servers))
+	now, n, isSilent := time.Minute, 0, map[string]bool{}
+	for _, s := range b.order()[:silentCount] {
+		isSilent[s.Server] = true
 	}
-	// round takes in requests, one after the other, and returns how many went to the silent servers first.
-	round := func(requests int, answers bool) (bad int) {
+	// sendRequests sends requests one after the other and returns how many first attempts went to silent servers.
+	sendRequests := func(requests int, answering bool) (silentSends int) {
 		for range requests {
 			n++
 			now += gap
 			id := fmt.Sprint(n)
 			acts := b.Handle(now, Request{ID: id, Class: "free", Tenant: "t", ExpiresIn: time.Second})
-			for attempt := 0; len(of(acts, Send)) > 0; attempt++ {
-				s := of(acts, Send)[0].Server
-				if code := OK; dead[s] && !answers {
+			for attempt := 0; len(actionsOfKind(acts, Send)) > 0; attempt++ {
+				s := actionsOfKind(acts, Send)[0].Server
+				if code := OK; isSilent[s] && !answering {
 					if attempt == 0 {
-						bad++
+						silentSends++
 					}
 					code = TimedOut
 					now += 10 * ms
-					acts = b.Handle(now, outcome(id, attempt, s, code, 10*ms))
+					acts = b.Handle(now, newOutcome(id, attempt, s, code, 10*ms))
 					continue
 				}
-				acts = b.Handle(now, outcome(id, attempt, s, OK, 10*ms))
+				acts = b.Handle(now, newOutcome(id, attempt, s, OK, 10*ms))
 			}
 		}
-		return bad
+		return silentSends
 	}
-	for out := 0; out < silent; {
-		round(20, false)
-		if out = b.fleet.ejectedCount; n > 10_000 {
-			t.Fatalf("%d of %d silent servers are ejected", out, silent)
+	for ejected := 0; ejected < silentCount; {
+		sendRequests(20, false)
+		if ejected = b.fleet.ejectedCount; n > 10_000 {
+			t.Fatalf("%d of %d silent servers are ejected", ejected, silentCount)
 		}
 	}
 	const requests = 1000
-	if bad := round(requests, false); float64(bad) > maxSavedTrials+trialShare*requests {
-		t.Errorf("%d of %d requests went to silent servers", bad, requests)
+	if silentSends := sendRequests(requests, false); float64(silentSends) > maxSavedTrials+trialShare*requests {
+		t.Errorf("%d of %d requests went to silent servers", silentSends, requests)
 	}
-	for back := 0; b.fleet.ejectedCount > 0; back++ {
-		if round(1, true); back > 8*silent {
-			t.Fatalf("%d servers are still out after %d requests", b.fleet.ejectedCount, back)
+	for sent := 0; b.fleet.ejectedCount > 0; sent++ {
+		if sendRequests(1, true); sent > 8*silentCount {
+			t.Fatalf("%d servers are still ejected after %d requests", b.fleet.ejectedCount, sent)
 		}
 	}
 }
 
-// A repeat of a keyed request says by when it has to have gone out; a first attempt has all its time.
-func TestRepeatsOfKeyedRequestsSayByWhen(t *testing.T) {
-	b := start(t, site(1), members(4))
+// A retry of a Guarded request has a latest time at which it may go out; a first attempt has none.
+func TestGuardedRetriesHaveALatestSendTime(t *testing.T) {
+	b := newTestBalancer(t, testSettings(1), members(4))
 	for i, c := range b.classList {
 		id, now := c.Name, time.Minute+time.Duration(i)*time.Second
-		first := of(b.Handle(now, Request{ID: id, Class: c.Name, Tenant: "t", ExpiresIn: time.Second}), Send)
+		first := actionsOfKind(b.Handle(now, Request{ID: id, Class: c.Name, Tenant: "t", ExpiresIn: time.Second}), Send)
 		if len(first) != 1 || first[0].By != 0 {
 			t.Fatalf("%s: %+v", id, first)
 		}
-		for _, again := range of(b.Handle(now+50*ms, outcome(id, 0, first[0].Server, Reset, 50*ms)), Send) {
+		for _, retry := range actionsOfKind(b.Handle(now+50*ms, newOutcome(id, 0, first[0].Server, Reset, 50*ms)), Send) {
 			want := Time(0)
 			if c.Repeat == Guarded {
 				want = now + c.Window
 			}
-			if again.By != want {
-				t.Errorf("%s: sent again until %v, want %v", id, again.By, want)
+			if retry.By != want {
+				t.Errorf("%s: retry may go out until %v, want %v", id, retry.By, want)
 			}
 		}
 	}
--- a/policy/state_test.go
+++ b/policy/state_test.go
@@ -13,7 +13,7 @@
 	list := members(3)
 	list[1].OnlineSince = time.Second
 	list[2].OnlineSince = time.Second
-	old := start(t, site(2), list)
+	old := newTestBalancer(t, testSettings(2), list)
 	now := 2 * time.Second
 	old.now = now
 	for range 40 {
@@ -30,7 +30,7 @@
 	const origin = time.Hour // of the new process's clock, at the moment at which the old one's shows 2 s
 	list[1].OnlineSince += origin - now
 	list[2].OnlineSince = origin // started anew
-	next, err := New(site(2), origin, 1)
+	next, err := New(testSettings(2), origin, 1)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -57,7 +57,7 @@
 // before it is used; but not where more are out than any process takes out by itself.
 func TestSuccessorKeepsBreakers(t *testing.T) {
 	for out, want := range map[int]int{0: 0, 1: 1, 2: 2, 3: 0} {
-		old := start(t, site(2), members(5))
+		old := newTestBalancer(t, testSettings(2), members(5))
 		for i := range out {
 			s := old.order()[i]
 			old.eject(s, i == 0)
@@ -65,7 +65,7 @@
 			s.health.score = 0.6
 		}
 		m := old.Snapshot(old.now + 400*ms)
-		next, err := New(site(2), time.Hour, 1)
+		next, err := New(testSettings(2), time.Hour, 1)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -81,7 +81,7 @@
 			if !h.ejected || h.hung != was.hung || h.ejections != was.ejections || h.ejectedUntil != time.Hour+rest || h.score != 0.6 {
 				t.Errorf("%d were out: the breaker is %+v, was %+v; want %v more", out, h, was, rest)
 			}
-			if to := sentTo(t, next.Handle(time.Hour+ms, ask(string(rune('a'+i)), "free"))); to == old.order()[i].Server {
+			if to := sentTo(t, next.Handle(time.Hour+ms, newRequest(string(rune('a'+i)), "free"))); to == old.order()[i].Server {
 				t.Errorf("%d were out: %s is used", out, to)
 			}
 		}
@@ -93,7 +93,7 @@
 	for _, m := range []Memory{{}, {Pace: -1, Busy: 9, Rates: map[string]float64{"k0": -1},
 		Buckets: []BucketMemory{{Tenant: "t", Tokens: -5, Age: -time.Hour}, {Tenant: "t", Class: "x", Tokens: 1 << 60}},
 		Servers: []ServerMemory{{Server: "s00", Threshold: -1, Latency: -1, Takes: -1, ColdLevel: 100}}}} {
-		b, err := New(site(2), time.Hour, 1)
+		b, err := New(testSettings(2), time.Hour, 1)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -113,17 +113,17 @@
 // Nodes that start together ask for the list at different times, but one that takes over does so alone, and
 // has to hear of drains as soon as the process before it would have.
 func TestSuccessorAsksAtOnce(t *testing.T) {
-	set := site(48)
+	set := testSettings(48)
 	set.Subscribe = true
 	list := members(3)
-	for _, m := range []Memory{{}, start(t, set, list).Snapshot(time.Second)} {
+	for _, m := range []Memory{{}, newTestBalancer(t, set, list).Snapshot(time.Second)} {
 		b, err := New(set, time.Hour, 1)
 		if err != nil {
 			t.Fatal(err)
 		}
 		b.Restore(time.Hour, m, 0)
 		acts := b.Handle(time.Hour, MemberList{Kind: ListRestored, Members: list})
-		asked, later := len(of(acts, WatchList)), len(of(acts, SetTimer))
+		asked, later := len(actionsOfKind(acts, WatchList)), len(actionsOfKind(acts, SetTimer))
 		if succeeds := len(m.Servers) > 0; (asked == 1) != succeeds || (later == 1) == succeeds {
 			t.Errorf("with %d servers remembered: %d calls, %d timers", len(m.Servers), asked, later)
 		}
@@ -132,11 +132,11 @@
 
 // The log's line names every server of a small fleet, and of a large one those that matter.
 func TestLogLineOfManyServersIsBounded(t *testing.T) {
-	small := start(t, site(1), members(maxLoggedServers))
+	small := newTestBalancer(t, testSettings(1), members(maxLoggedServers))
 	if got := small.String(); strings.Count(got, "=0/") != maxLoggedServers || strings.Contains(got, "left_out") {
 		t.Errorf("of %d servers: %s", maxLoggedServers, got)
 	}
-	b := start(t, site(1), members(39000))
+	b := newTestBalancer(t, testSettings(1), members(39000))
 	b.now = time.Hour
 	if got := b.String(); !strings.HasSuffix(got, " extra=0 left_out=39000 idle=39000 out=0") {
 		t.Errorf("with nothing to do: %s", got)
