--- a/cmd/soak/main.go
+++ b/cmd/soak/main.go
@@ -1,4 +1,5 @@
-// Command soak runs node processes under overlapping troubles that a seed draws, and judges them by the rules.
+// Command soak runs node processes under overlapping disruptions, which it generates from a seed, and checks them against
+// the rules.
 package main
 
 import (
@@ -26,17 +27,18 @@
 )
 
 const (
-	maxSeeds    = 1000
-	maxParallel = 8
-	mostShown   = 20 // findings of a run that are printed
+	maxSeeds           = 1000
+	maxParallel        = 8
+	maxPrintedFindings = 20 // limit of the printed findings of a run
 )
 
-// errGrowth is the end of a comparison in which nodes needed more than they may.
-var errGrowth = errors.New("what nodes need grows too far with the servers")
+// errUsageGrowth is returned if the nodes' resource usage with many servers exceeds a limit.
+var errUsageGrowth = errors.New("the nodes' resource usage grows too much with the number of servers")
 
-// errBroken is the end of a run in which a rule was broken.
-var errBroken = errors.New("a rule was broken")
+// errViolations is returned if a run found violations of the rules.
+var errViolations = errors.New("rules were violated")
 
+// command has the command's flags.
 type command struct {
 	Seed     uint64        `help:"Of the plan." default:"1"`
 	Seeds    string        `help:"Play these seeds one after the other instead, both ends among them." placeholder:"A..B"`
@@ -57,7 +59,7 @@
 	Plan     bool          `help:"Print the plans and play nothing."`
 }
 
-// Run plays the seeds. It fails where a rule was broken.
+// Run runs all seeds, or prints their plans. It fails if a rule was violated.
 func (c command) Run(out io.Writer) error {
 	seeds, err := c.seeds()
 	if err != nil {
@@ -87,74 +89,74 @@
 	if err := os.MkdirAll(dir, 0o700); err != nil {
 		return err
 	}
-	if err := build(&c.Node, filepath.Join(dir, "wayhold")); err != nil {
+	if err := buildNode(&c.Node, filepath.Join(dir, "wayhold")); err != nil {
 		return err
 	}
-	if err := build(&c.Faulty, filepath.Join(dir, "wayhold-faults"), "-tags", "faults"); err != nil {
+	if err := buildNode(&c.Faulty, filepath.Join(dir, "wayhold-faults"), "-tags", "faults"); err != nil {
 		return err
 	}
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
 	defer stop()
-	results, err := c.play(ctx, out, options, seeds, dir)
+	results, err := c.runSeeds(ctx, out, options, seeds, dir)
 	if c.Out != "" {
-		err = errors.Join(err, write(c.Out, results))
+		err = errors.Join(err, writeResults(c.Out, results))
 	}
 	return err
 }
 
-// build builds the node into a file, unless a built one is named.
-func build(named *string, file string, flags ...string) error {
-	if *named != "" {
+// buildNode builds the node and sets *binary to its path, unless *binary names a built one already.
+func buildNode(binary *string, path string, flags ...string) error {
+	if *binary != "" {
 		return nil
 	}
-	*named = file
-	args := append([]string{"build", "-o", file}, append(flags, "cobaltward/cmd/wayhold")...)
-	if text, err := exec.Command("go", args...).CombinedOutput(); err != nil {
-		return fmt.Errorf("build: %w: %s", err, text)
+	*binary = path
+	args := append([]string{"build", "-o", path}, append(flags, "cobaltward/cmd/wayhold")...)
+	if output, err := exec.Command("go", args...).CombinedOutput(); err != nil {
+		return fmt.Errorf("build: %w: %s", err, output)
 	}
 	return nil
 }
 
-// play runs the seeds, some at once, and returns their results in order.
-func (c command) play(ctx context.Context, out io.Writer, options soak.Options, seeds []uint64, dir string) ([]soak.Result, error) {
+// runSeeds runs the seeds, up to c.Parallel at once, and returns their results in order.
+func (c command) runSeeds(ctx context.Context, out io.Writer, options soak.Options, seeds []uint64, dir string) ([]soak.Result, error) {
 	results, errs := make([]soak.Result, len(seeds)), make([]error, len(seeds))
-	turns := make(chan struct{}, c.Parallel)
-	var all sync.WaitGroup
-	var printing sync.Mutex
+	slots := make(chan struct{}, c.Parallel)
+	var wg sync.WaitGroup
+	var printMu sync.Mutex
 	for i, seed := range seeds {
-		turns <- struct{}{}
-		all.Go(func() {
-			defer func() { <-turns }()
+		slots <- struct{}{}
+		wg.Go(func() {
+			defer func() { <-slots }()
 			o := options
 			o.Seed = seed
 			results[i], errs[i] = soak.Execute(ctx, soak.Settings{Binary: c.Node, FaultyBinary: c.Faulty, Env: c.Env, Options: o,
 				Dir: filepath.Join(dir, fmt.Sprintf("seed-%d", seed))})
-			printing.Lock()
-			defer printing.Unlock()
-			print(out, seed, results[i], errs[i])
+			printMu.Lock()
+			defer printMu.Unlock()
+			printResult(out, seed, results[i], errs[i])
 		})
 	}
-	all.Wait()
+	wg.Wait()
 	err := errors.Join(errs...)
 	if c.Growth && err == nil {
-		err = c.compare(ctx, out, results, dir)
+		err = c.compareUsage(ctx, out, results, dir)
 	}
 	for _, r := range results {
 		if r.Failed() {
-			return results, errors.Join(err, errBroken)
+			return results, errors.Join(err, errViolations)
 		}
 	}
 	return results, err
 }
 
-// compare plays the same seeds with few servers, and holds what the nodes needed against that.
-func (c command) compare(ctx context.Context, out io.Writer, results []soak.Result, dir string) error {
+// compareUsage runs the same seeds with c.Usual servers, and compares the nodes' resource usage with that of the results.
+func (c command) compareUsage(ctx context.Context, out io.Writer, results []soak.Result, dir string) error {
 	for _, large := range results {
 		o := soak.Options{Seed: large.Plan.Seed, Duration: large.Plan.Duration, Nodes: large.Plan.Nodes, Servers: c.Usual,
 			Overload: true, CPUShare: c.Core, NoDisruptions: true}
 		usual, err := soak.Execute(ctx, soak.Settings{Binary: c.Node, FaultyBinary: c.Faulty, Env: c.Env, Options: o,
 			Dir: filepath.Join(dir, fmt.Sprintf("seed-%d-usual", o.Seed))})
-		print(out, o.Seed, usual, err)
+		printResult(out, o.Seed, usual, err)
 		if err != nil {
 			return err
 		}
@@ -163,34 +165,36 @@
 			fmt.Fprintln(out, "  growth:", line)
 		}
 		if broken {
-			return errGrowth
+			return errUsageGrowth
 		}
 	}
 	return nil
 }
 
-func print(out io.Writer, seed uint64, r soak.Result, err error) {
+// printResult prints a run's totals and findings, or its error.
+func printResult(out io.Writer, seed uint64, r soak.Result, err error) {
 	if err != nil {
 		fmt.Fprintf(out, "seed %d: %v\n", seed, err)
 		return
 	}
-	fmt.Fprintf(out, "seed %d: %d troubles, %d requests %v, %d attempts, %d left, %d crossed, %d died, %d bad peers, %d starts (slowest %v), "+
+	fmt.Fprintf(out, "seed %d: %d disruptions, %d requests %v, %d attempts, %d abandoned, %d close races, %d lost to kills, %d bad peers, %d starts (slowest %v), "+
 		"%d kB, %d descriptors; %d findings, node violations %v, denials %v\n", seed, len(r.Plan.Disruptions), r.Counts.Requests,
 		r.Counts.Statuses, r.Counts.Attempts, r.Counts.Abandoned, r.Counts.CloseRaces, r.Counts.LostToKill, r.Counts.BadPeers, r.Starts,
 		r.SlowestStart.Round(time.Millisecond), r.MaxMemoryKB, r.MaxDescriptors, len(r.Findings), r.Violations, r.Denials)
 	if v := r.Plan.Overload; v != nil {
-		fmt.Fprintf(out, "  overload: %d servers that take %.0f requests a second, %v each, %.2f of a core; needs %+v, slowest answer %v\n",
+		fmt.Fprintf(out, "  overload: %d servers with a total capacity of %.0f requests a second, service time %v, %.2f of a core; usage %+v, maximum lateness %v\n",
 			r.Plan.Servers, v.Capacity, v.ServiceTime, v.CPUShare, r.Usage, r.Counts.MaxLateness)
 	}
 	for i, f := range r.Findings {
-		if i == mostShown {
-			fmt.Fprintf(out, "  and %d more\n", len(r.Findings)-mostShown)
+		if i == maxPrintedFindings {
+			fmt.Fprintf(out, "  and %d more\n", len(r.Findings)-maxPrintedFindings)
 			break
 		}
 		fmt.Fprintf(out, "  %s at %v, node %d, %s: %s\n", f.Rule, f.At.Round(time.Millisecond), f.Node, f.ID, f.Detail)
 	}
 }
 
+// printPlans prints the plan of each seed without running it.
 func printPlans(out io.Writer, options soak.Options, seeds []uint64) error {
 	for _, seed := range seeds {
 		options.Seed = seed
@@ -202,14 +206,15 @@
 		for _, node := range slices.Sorted(maps.Keys(plan.NodeFaults)) {
 			fmt.Fprintf(out, "  node %d: %s\n", node, plan.NodeFaults[node])
 		}
-		for _, t := range plan.Disruptions {
-			fmt.Fprintln(out, " ", t)
+		for _, d := range plan.Disruptions {
+			fmt.Fprintln(out, " ", d)
 		}
 	}
 	return nil
 }
 
-func write(name string, results []soak.Result) error {
+// writeResults writes the results to a file, as JSON.
+func writeResults(name string, results []soak.Result) error {
 	raw, err := json.MarshalIndent(results, "", " ")
 	if err != nil {
 		return err
@@ -217,7 +222,7 @@
 	return os.WriteFile(name, append(raw, '\n'), 0o644)
 }
 
-// seeds are those that the arguments ask for.
+// seeds returns the seeds that the flags Seed and Seeds select.
 func (c command) seeds() ([]uint64, error) {
 	if c.Seeds == "" {
 		return []uint64{c.Seed}, nil
@@ -226,19 +231,19 @@
 	from, err1 := strconv.ParseUint(first, 10, 64)
 	to, err2 := strconv.ParseUint(last, 10, 64)
 	if !ok || err1 != nil || err2 != nil || to < from || to-from >= maxSeeds {
-		return nil, fmt.Errorf("seeds: want A..B, %d of them at most, got %q", maxSeeds, c.Seeds)
+		return nil, fmt.Errorf("seeds: want A..B with at most %d seeds, got %q", maxSeeds, c.Seeds)
 	}
-	var all []uint64
+	var seeds []uint64
 	for seed := from; seed <= to; seed++ {
-		all = append(all, seed)
+		seeds = append(seeds, seed)
 	}
-	return all, nil
+	return seeds, nil
 }
 
 func main() {
 	slog.SetDefault(slog.New(slog.NewTextHandler(os.Stderr, nil)))
 	var c command
-	parser := kong.Must(&c, kong.Name("soak"), kong.Description("Run node processes under overlapping troubles, and judge them."))
+	parser := kong.Must(&c, kong.Name("soak"), kong.Description("Run node processes under overlapping disruptions, and check them against the rules."))
 	if _, err := parser.Parse(os.Args[1:]); err != nil {
 		fmt.Fprintln(os.Stderr, "soak:", err)
 		os.Exit(2)
--- a/internal/soak/fake_node_test.go
+++ b/internal/soak/fake_node_test.go
@@ -12,13 +12,13 @@
 	"time"
 )
 
-// fakeNode is a node of a few lines, which forwards each request and may break a rule on purpose.
+// fakeNode is a minimal node that forwards each request and violates a rule if it is told to.
 type fakeNode struct {
-	servers []*server
-	breaks  string
+	servers   []*server
+	violation string // the violation, as in TestCheckerFindsViolationsOnSockets; empty for none
 }
 
-// serve takes one request from a connection.
+// serve answers one request of a connection.
 func (f *fakeNode) serve(c net.Conn) {
 	defer c.Close()
 	in := bufio.NewReader(c)
@@ -27,12 +27,12 @@
 		return
 	}
 	_, _ = io.Copy(io.Discard, req.Body)
-	if f.breaks == "closes" {
+	if f.violation == "closes" {
 		time.Sleep(2 * closeRaceWindow)
 		return
 	}
 	answer := f.forward(req, 0)
-	switch f.breaks {
+	switch f.violation {
 	case "repeats":
 		answer = f.forward(req, 1)
 	case "refuses":
@@ -43,14 +43,14 @@
 	_, _ = io.WriteString(c, answer)
 }
 
-// forward sends the request to a server, and returns what it answers.
+// forward sends the request to a server, and returns the text of its answer, or the empty string on an error.
 func (f *fakeNode) forward(req *http.Request, server int) string {
 	c, err := net.Dial("tcp", f.servers[server].addr())
 	if err != nil {
 		return ""
 	}
 	defer c.Close()
-	if f.breaks == "overstates" {
+	if f.violation == "overstates" {
 		req.Header.Set("X-Deadline-Ms", "60000")
 	}
 	out := req.Clone(context.Background())
@@ -58,20 +58,20 @@
 	if out.Write(c) != nil {
 		return ""
 	}
-	raw, _ := io.ReadAll(bufio.NewReader(io.LimitReader(c, 1<<10)))
-	return string(raw)
+	answer, _ := io.ReadAll(bufio.NewReader(io.LimitReader(c, 1<<10)))
+	return string(answer)
 }
 
-// What clients and servers see on real sockets is enough for the judge to find a node that breaks a rule, and one that
-// breaks none passes.
-func TestSocketsShowWhatANodeBreaks(t *testing.T) {
-	for breaks, want := range map[string]string{"": "", "closes": ruleUnanswered, "repeats": ruleUnsafe, "refuses": ruleRefused,
+// Checks, with clients and servers on real sockets, that each violation of a node is reported under its rule, and that a
+// correct node has no findings.
+func TestCheckerFindsViolationsOnSockets(t *testing.T) {
+	for violation, want := range map[string]string{"": "", "closes": ruleUnanswered, "repeats": ruleUnsafe, "refuses": ruleRefused,
 		"mixes up": ruleWrongAnswer, "overstates": ruleDeadline} {
-		t.Run(breaks, func(t *testing.T) {
-			j := NewChecker(false)
-			fake := &fakeNode{breaks: breaks}
+		t.Run(violation, func(t *testing.T) {
+			checker := NewChecker(false)
+			fake := &fakeNode{violation: violation}
 			for i := range 2 {
-				s, err := newServer(i, j, 1)
+				s, err := newServer(i, checker, 1)
 				if err != nil {
 					t.Fatal(err)
 				}
@@ -93,50 +93,51 @@
 					go fake.serve(c)
 				}
 			}()
-			clients, n := newClientPool(j, 1), &node{number: 4, listen: ln.Addr().String(), ready: true}
-			c, err := clients.take(n)
+			clients, n := newClientPool(checker, 1), &node{number: 4, listenAddr: ln.Addr().String(), ready: true}
+			c, err := clients.getConn(n)
 			if err != nil {
 				t.Fatal(err)
 			}
 			defer c.Close()
-			r, text := clients.begin(n, classes[2], false)
-			if !clients.write(c, text) {
+			r, text := clients.newRequest(n, defaultClasses[2], false)
+			if !clients.writeRequest(c, text) {
 				t.Fatal("the request was not written")
 			}
 			sent := time.Now()
-			j.Sent(r, sent)
-			clients.answer(n, c, r, sent)
-			findings, _ := j.Finish()
+			checker.Sent(r, sent)
+			clients.readAnswer(n, c, r, sent)
+			findings, _ := checker.Finish()
 			if got := ruleNames(findings); want == "" && len(got) > 0 || want != "" && !slices.Equal(got, []string{want}) {
-				t.Errorf("found %v, want %q", findings, want)
+				t.Errorf("findings are %v, want rule %q", findings, want)
 			}
 		})
 	}
 }
 
-// A request that is sent after a kill has begun and before the process has ended is excused as well as those before.
-func TestRequestsInTheMidstOfAKillAreExcused(t *testing.T) {
+// Guards against blaming a node for the loss of a request that was sent while its process was being killed: it is excused
+// like one sent before the kill.
+func TestKilledSinceCoversTheWholeKill(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		n := &node{}
 		before := time.Now()
 		time.Sleep(time.Millisecond)
-		if n.died(before) {
-			t.Error("a node died that nobody killed")
+		if n.killedSince(before) {
+			t.Error("killedSince is true without a kill")
 		}
-		n.noteKill(true)
+		n.recordKill(true)
 		time.Sleep(time.Millisecond)
-		amidst := time.Now()
-		if !n.died(before) || !n.died(amidst) {
-			t.Error("not excused while the kill goes on")
+		duringKill := time.Now()
+		if !n.killedSince(before) || !n.killedSince(duringKill) {
+			t.Error("killedSince is false during the kill")
 		}
 		time.Sleep(time.Millisecond)
-		n.noteKill(false)
-		if !n.died(before) || !n.died(amidst) {
-			t.Error("not excused once the kill is over")
+		n.recordKill(false)
+		if !n.killedSince(before) || !n.killedSince(duringKill) {
+			t.Error("killedSince is false after the kill, for a time before its end")
 		}
 		time.Sleep(time.Millisecond)
-		if n.died(time.Now()) {
-			t.Error("excused after the kill")
+		if n.killedSince(time.Now()) {
+			t.Error("killedSince is true for a time after the kill")
 		}
 	})
 }
--- a/internal/soak/judge_test.go
+++ b/internal/soak/judge_test.go
@@ -22,7 +22,7 @@
 func TestCheckerReportsEachRule(t *testing.T) {
 	now := time.Now()
 	at := func(d time.Duration) time.Time { return now.Add(d) }
-	get, mark, bill := classes[0], classes[1], classes[2]
+	get, mark, bill := defaultClasses[0], defaultClasses[1], defaultClasses[2]
 	send := func(c *Checker, class Class) *request {
 		r := c.AddRequest("r1", class, 3)
 		c.Sent(r, now)
@@ -147,7 +147,7 @@
 	}
 	for i := range count {
 		id := fmt.Sprint("c", i)
-		c.Sent(c.AddRequest(id, classes[0], 1), now)
+		c.Sent(c.AddRequest(id, defaultClasses[0], 1), now)
 		began := now.Add(time.Duration(i) * time.Second / time.Duration(count))
 		c.AttemptEnded(c.AttemptBegan(id, 0, began, 0), began, false)
 	}
--- a/internal/soak/node.go
+++ b/internal/soak/node.go
@@ -20,87 +20,87 @@
 )
 
 const (
-	readyPoll     = 50 * time.Millisecond
-	readyLatest   = 30 * time.Second
-	readyUpgrade  = 6 * time.Second
-	killSlack     = 700 * time.Millisecond // after the longest deadline SIGKILL may follow SIGTERM
-	longestSpan   = 3 * time.Second        // that counts as the longest deadline, at most
-	signalsApart  = 50 * time.Millisecond  // between two of a series
-	inheritedFD   = 5
-	frontDrops    = 200 * time.Millisecond // between a no and the end of new connections
-	nodeMemoryMB  = 64
-	nodeSockets   = 256
-	scrapeTimeout = time.Second
-	standbyNotice = 4 * time.Second // within which a node in standby says no (operators' days)
-	standbyBack   = 2 * time.Second // within which it says yes again
-	statFields    = 13              // of /proc/PID/stat behind the name, up to the system time (proc(5))
-	clockTicks    = 100             // of these a second (USER_HZ)
+	readyPollInterval   = 50 * time.Millisecond
+	readyTimeout        = 30 * time.Second
+	upgradeReadyTimeout = 6 * time.Second
+	terminationSlack    = 700 * time.Millisecond // SIGKILL follows SIGTERM after the longest deadline and this
+	longestDeadlineCap  = 3 * time.Second        // upper limit of the longest deadline (PROTOCOL)
+	signalInterval      = 50 * time.Millisecond  // between the signals of a series
+	inheritedFD         = 5
+	frontRemovalDelay   = 200 * time.Millisecond // from a failed readiness probe until the front opens no new connections
+	nodeMemoryMB        = 64
+	nodeSockets         = 256
+	scrapeTimeout       = time.Second
+	standbyTimeout      = 4 * time.Second // by which a node put into standby has to report not ready (operators' days)
+	activeTimeout       = 2 * time.Second // by which it has to report ready again after its standby
+	statFieldCount      = 13              // in /proc/PID/stat after the command name, up to and including stime (proc(5))
+	clockTicksPerSecond = 100             // USER_HZ, the unit of utime and stime
 )
 
-// process is one process of a node.
+// process is one operating system process of a node.
 type process struct {
-	cmd     *exec.Cmd
-	admin   string
-	ended   chan struct{} // closed when it has ended
-	err     error         // how, once it has
-	told    atomic.Bool   // to end
-	killed  atomic.Bool
-	pump    atomic.Bool // its log is read
-	began   time.Time
-	logRead io.Closer // nil where the log is a file
+	cmd             *exec.Cmd
+	adminAddr       string        // host:port of its operators' listener
+	ended           chan struct{} // closed when the process has exited
+	waitErr         error         // from Wait, valid once ended is closed
+	terminating     atomic.Bool   // it was sent SIGTERM
+	killed          atomic.Bool   // it was sent SIGKILL
+	logReaderActive atomic.Bool   // its log is being read from the pipe
+	began           time.Time
+	logReader       io.Closer // read end of the log pipe; nil if the log is a file
 }
 
-// node is one node over all its processes.
+// node is one node, across all its successive processes.
 type node struct {
-	number  int
-	run     *Run
-	host    string // a loopback address of its own
-	listen  string
-	held    *os.File // the clients' listening socket, where the platform holds it
-	dir     string
-	config  string
-	binary  string
-	env     []string
-	logPipe bool
-
-	turn     sync.Mutex // of whoever starts or ends its processes
-	standbys sync.Mutex // of whoever has sent it to standby: one's end would be taken for another's
-
-	crowded  atomic.Bool // idle clients fill its descriptors
-	sentAway atomic.Bool // it is in standby
-
-	mu       sync.Mutex
-	current  *process
-	killing  bool
-	lastKill time.Time // when the last kill was over
-	ready    bool      // as the front sees it
-	saidNo   time.Time
-	readies  []time.Duration
+	number       int
+	run          *Run
+	host         string   // its own loopback address
+	listenAddr   string   // host:port of its clients' listener
+	heldListener *os.File // the clients' listening socket if the platform holds it and passes it on, else nil
+	dir          string
+	configPath   string
+	binary       string
+	env          []string
+	logPipe      bool
+
+	processMu sync.Mutex // held while its processes are started or ended
+	standbyMu sync.Mutex // held during a standby, since the end of one would end an overlapping one too
+
+	outOfDescriptors atomic.Bool // idle connections use up its descriptors
+	inStandby        atomic.Bool // operators have put it into standby
+
+	mu            sync.Mutex
+	current       *process
+	killing       bool
+	lastKill      time.Time       // when the last kill began or, once it is over, ended
+	ready         bool            // whether the front opens new connections to it
+	notReadySince time.Time       // since when readiness probes have failed; zero if the last one succeeded
+	readyTimes    []time.Duration // how long each process took to become ready
 }
 
-// start starts a process. It is the node's current one at once.
+// start starts a process and makes it the node's current one at once.
 func (n *node) start() (*process, error) {
-	admin := n.listen
-	for admin == n.listen { // which is free itself until the process listens there
+	admin := n.listenAddr
+	for admin == n.listenAddr { // until the process listens there, freeAddress may return it too
 		var err error
 		if admin, err = freeAddress(n.host); err != nil {
 			return nil, err
 		}
 	}
-	p := &process{cmd: exec.Command(n.binary), admin: admin, ended: make(chan struct{}), began: time.Now()}
-	p.pump.Store(true)
-	p.cmd.Env = append([]string{"ROUTER_CONFIG=" + n.config, "ROUTER_OPERATOR=" + admin, "TMPDIR=" + n.dir}, n.env...)
+	p := &process{cmd: exec.Command(n.binary), adminAddr: admin, ended: make(chan struct{}), began: time.Now()}
+	p.logReaderActive.Store(true)
+	p.cmd.Env = append([]string{"ROUTER_CONFIG=" + n.configPath, "ROUTER_OPERATOR=" + admin, "TMPDIR=" + n.dir}, n.env...)
 	p.cmd.SysProcAttr = &syscall.SysProcAttr{Setpgid: true}
-	if n.held != nil {
+	if n.heldListener != nil {
 		p.cmd.Env = append(p.cmd.Env, "ROUTER_INHERITED_FD="+strconv.Itoa(inheritedFD))
-		p.cmd.ExtraFiles = []*os.File{n.held, n.held, n.held}
+		p.cmd.ExtraFiles = []*os.File{n.heldListener, n.heldListener, n.heldListener}
 	}
-	log, err := os.OpenFile(filepath.Join(n.dir, "log"), os.O_APPEND|os.O_CREATE|os.O_WRONLY, 0o600)
+	logFile, err := os.OpenFile(filepath.Join(n.dir, "log"), os.O_APPEND|os.O_CREATE|os.O_WRONLY, 0o600)
 	if err != nil {
 		return nil, err
 	}
-	defer log.Close()
-	p.cmd.Stderr = log
+	defer logFile.Close()
+	p.cmd.Stderr = logFile
 	if n.logPipe {
 		if err := p.pipeLog(filepath.Join(n.dir, "log")); err != nil {
 			return nil, err
@@ -112,9 +112,9 @@
 	}
 	n.run.checker.NodeStarted(n.number, time.Now())
 	go func() {
-		p.err = p.cmd.Wait()
+		p.waitErr = p.cmd.Wait()
 		close(p.ended)
-		n.looked(p)
+		n.checkExit(p)
 	}()
 	n.mu.Lock()
 	n.current = p
@@ -122,31 +122,31 @@
 	return p, nil
 }
 
-// pipeLog has the process log to a pipe that is read for as long as pump says.
+// pipeLog makes the process log to a pipe, which is copied to the named file while logReaderActive is set.
 func (p *process) pipeLog(name string) error {
-	read, write, err := os.Pipe()
+	reader, writer, err := os.Pipe()
 	if err != nil {
 		return err
 	}
-	to, err := os.OpenFile(name, os.O_APPEND|os.O_CREATE|os.O_WRONLY, 0o600)
+	file, err := os.OpenFile(name, os.O_APPEND|os.O_CREATE|os.O_WRONLY, 0o600)
 	if err != nil {
-		return errors.Join(err, read.Close(), write.Close())
+		return errors.Join(err, reader.Close(), writer.Close())
 	}
-	p.cmd.Stderr, p.logRead = write, read
+	p.cmd.Stderr, p.logReader = writer, reader
 	go func() {
-		defer to.Close()
-		in := bufio.NewReader(read)
+		defer file.Close()
+		lines := bufio.NewReader(reader)
 		for {
-			if !p.pump.Load() {
+			if !p.logReaderActive.Load() {
 				select {
 				case <-p.ended:
 					return
-				case <-time.After(readyPoll):
+				case <-time.After(readyPollInterval):
 					continue
 				}
 			}
-			line, err := in.ReadBytes('\n')
-			_, _ = to.Write(line)
+			line, err := lines.ReadBytes('\n')
+			_, _ = file.Write(line)
 			if err != nil {
 				return
 			}
@@ -155,15 +155,16 @@
 	return nil
 }
 
-// looked judges how a process ended.
-func (n *node) looked(p *process) {
-	if p.killed.Load() || p.told.Load() && p.err == nil {
+// checkExit reports a process that exited, except after a SIGKILL or, without an error, after a SIGTERM of the run.
+func (n *node) checkExit(p *process) {
+	if p.killed.Load() || p.terminating.Load() && p.waitErr == nil {
 		return
 	}
-	n.run.checker.Report(ruleCrash, n.number, "the process ended with %v (told to end: %v); %s", p.err, p.told.Load(), n.lastLine())
+	n.run.checker.Report(ruleCrash, n.number, "the process exited with %v (sent SIGTERM: %v), log: %s", p.waitErr, p.terminating.Load(), n.lastLogOutput())
 }
 
-func (n *node) lastLine() string {
+// lastLogOutput returns the beginning of the panic in the node's log, or the log's last line if there is none.
+func (n *node) lastLogOutput() string {
 	raw, err := os.ReadFile(filepath.Join(n.dir, "log"))
 	if err != nil {
 		return err.Error()
@@ -175,21 +176,22 @@
 	return text[max(0, strings.LastIndexByte(text, '\n')):]
 }
 
-// process is the current one.
+// process returns the node's current process.
 func (n *node) process() *process {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.current
 }
 
-// awaitReady waits until a process says that it is ready, and notes how long that took.
+// awaitReady waits until a process reports ready, and records how long that took. It reports a process that takes longer
+// than the given time.
 func (n *node) awaitReady(p *process, within time.Duration) {
 	began := time.Now()
-	for !statusOK("http://" + p.admin + "/status") {
+	for !statusOK("http://" + p.adminAddr + "/status") {
 		select {
 		case <-p.ended:
 			return
-		case <-time.After(readyPoll):
+		case <-time.After(readyPollInterval):
 		}
 		if time.Since(began) > within {
 			n.run.checker.Report(ruleNotReady, n.number, "not ready after %v", within)
@@ -197,146 +199,147 @@
 		}
 	}
 	n.mu.Lock()
-	n.readies = append(n.readies, time.Since(began))
+	n.readyTimes = append(n.readyTimes, time.Since(began))
 	n.mu.Unlock()
 }
 
-// follow asks for readiness as the front does, until the run ends.
-func (n *node) follow() {
+// pollReadiness probes readiness as the front does, until the run ends.
+func (n *node) pollReadiness() {
 	tick := time.NewTicker(100 * time.Millisecond)
 	defer tick.Stop()
 	for range tick.C {
 		if n.run.ctx.Err() != nil {
 			return
 		}
-		yes := statusOK("http://" + n.listen + "/health/ready")
+		ready := statusOK("http://" + n.listenAddr + "/health/ready")
 		n.mu.Lock()
 		switch {
-		case yes:
-			n.ready, n.saidNo = true, time.Time{}
-		case n.ready && n.saidNo.IsZero():
-			n.saidNo = time.Now()
-		case n.ready && time.Since(n.saidNo) > frontDrops:
+		case ready:
+			n.ready, n.notReadySince = true, time.Time{}
+		case n.ready && n.notReadySince.IsZero():
+			n.notReadySince = time.Now()
+		case n.ready && time.Since(n.notReadySince) > frontRemovalDelay:
 			n.ready = false
 		}
 		n.mu.Unlock()
 	}
 }
 
-func (n *node) takesClients() bool {
+// receivesConnections tells whether the front opens new connections to the node.
+func (n *node) receivesConnections() bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.ready
 }
 
-// died tells whether a process of the node was killed, or ended, since a time.
-func (n *node) died(since time.Time) bool {
+// killedSince tells whether a process of the node is being killed or was killed after the given time.
+func (n *node) killedSince(since time.Time) bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.killing || n.lastKill.After(since)
 }
 
-// turnsAway tells whether the node has had a reason, since a time, to close connections over requests that it has not
-// read.
-func (n *node) turnsAway(since time.Time) bool {
-	if n.died(since) || n.crowded.Load() || n.sentAway.Load() {
+// mayResetUnread tells whether the node has had a reason since the given time to close connections with unread requests: a
+// kill, exhausted descriptors, standby, or a process that is ending or started up to longestDeadlineCap before that time.
+func (n *node) mayResetUnread(since time.Time) bool {
+	if n.killedSince(since) || n.outOfDescriptors.Load() || n.inStandby.Load() {
 		return true
 	}
 	p := n.process()
-	return p == nil || p.told.Load() || p.began.After(since.Add(-longestSpan))
+	return p == nil || p.terminating.Load() || p.began.After(since.Add(-longestDeadlineCap))
 }
 
 func (n *node) signal(p *process, s syscall.Signal) { _ = p.cmd.Process.Signal(s) }
 
-// kill ends a process outright.
+// kill sends SIGKILL to a process and waits for its exit.
 func (n *node) kill(p *process) {
 	p.killed.Store(true)
-	n.noteKill(true)
+	n.recordKill(true)
 	n.signal(p, syscall.SIGKILL)
 	<-p.ended
-	n.noteKill(false)
+	n.recordKill(false)
 }
 
-// noteKill notes that a kill begins, or is over. All that came before its end is excused, also what comes in the midst of it.
-func (n *node) noteKill(begins bool) {
+// recordKill records that a kill begins or is over. It excuses requests sent before its end, also those sent during it.
+func (n *node) recordKill(begins bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.killing, n.lastKill = begins, time.Now()
 }
 
-// end tells a process to end, and waits for that as long as the platform does.
-func (n *node) end(p *process) {
-	p.told.Store(true)
-	most := n.run.plan.longestDeadline() + killSlack
-	late := time.After(most)
-	for _, s := range []syscall.Signal{syscall.SIGTERM, syscall.SIGHUP, syscall.SIGTERM} { // signals come in series
+// terminate sends SIGTERM to a process and waits for its exit as long as the platform does, then reports and kills it.
+func (n *node) terminate(p *process) {
+	p.terminating.Store(true)
+	timeout := n.run.plan.longestDeadline() + terminationSlack
+	expired := time.After(timeout)
+	for _, s := range []syscall.Signal{syscall.SIGTERM, syscall.SIGHUP, syscall.SIGTERM} { // the platform may send several signals
 		n.signal(p, s)
 		select {
 		case <-p.ended:
 			return
-		case <-time.After(signalsApart):
+		case <-time.After(signalInterval):
 		}
 	}
 	select {
 	case <-p.ended:
-	case <-late:
-		n.run.checker.Report(ruleNotEnded, n.number, "runs %v after SIGTERM", most)
+	case <-expired:
+		n.run.checker.Report(ruleNotEnded, n.number, "still running %v after SIGTERM", timeout)
 		n.kill(p)
 	}
 }
 
-// replace has another process take the place of the current one. Processes come and go one after the other.
+// replace replaces the current process in the given way. Replacements of one node are serialized.
 func (n *node) replace(how Kind) error {
-	n.turn.Lock()
-	defer n.turn.Unlock()
+	n.processMu.Lock()
+	defer n.processMu.Unlock()
 	switch p := n.process(); how {
 	case NodeUpgrade:
 		return n.upgrade()
 	case NodeKill:
 		n.kill(p)
 	default:
-		n.end(p)
+		n.terminate(p)
 	}
 	return n.restart()
 }
 
-// standby has operators send a process's clients away and take them again, and judges what the front sees of that.
-func (n *node) standby(p *process) {
-	n.standbys.Lock()
-	defer n.standbys.Unlock()
-	if n.held != nil { // a process that takes over would be in standby too, and not ready in time
-		n.turn.Lock()
-		defer n.turn.Unlock()
+// cycleStandby puts a process into standby and makes it active again, as operators do, and checks its readiness.
+func (n *node) cycleStandby(p *process) {
+	n.standbyMu.Lock()
+	defer n.standbyMu.Unlock()
+	if n.heldListener != nil { // a process that takes over would inherit the standby, and not be ready in time
+		n.processMu.Lock()
+		defer n.processMu.Unlock()
 		p = n.process()
 	}
-	n.sentAway.Store(true)
-	defer n.sentAway.Store(false)
+	n.inStandby.Store(true)
+	defer n.inStandby.Store(false)
 	if !p.post("/standby") {
-		return // it was told to end, or has ended
+		return // it is ending or has exited
 	}
-	n.run.wait(standbyNotice)
-	stays := func() bool { return n.process() == p && !p.told.Load() && n.run.ctx.Err() == nil }
-	if statusOK("http://"+p.admin+"/status") && stays() {
-		n.run.checker.Report(ruleStandby, n.number, "ready %v after it was sent to standby", standbyNotice)
+	n.run.wait(standbyTimeout)
+	stays := func() bool { return n.process() == p && !p.terminating.Load() && n.run.ctx.Err() == nil }
+	if statusOK("http://"+p.adminAddr+"/status") && stays() {
+		n.run.checker.Report(ruleStandby, n.number, "still ready %v after it was put into standby", standbyTimeout)
 	}
 	if !p.post("/active") {
 		return
 	}
-	for began := time.Now(); !statusOK("http://" + p.admin + "/status"); n.run.wait(readyPoll) {
+	for began := time.Now(); !statusOK("http://" + p.adminAddr + "/status"); n.run.wait(readyPollInterval) {
 		if !stays() {
 			return
 		}
-		if time.Since(began) > standbyBack {
-			n.run.checker.Report(ruleStandby, n.number, "not ready %v after its standby ended", standbyBack)
+		if time.Since(began) > activeTimeout {
+			n.run.checker.Report(ruleStandby, n.number, "not ready %v after its standby ended", activeTimeout)
 			return
 		}
 	}
 }
 
-// post makes an operators' call, and reports whether it was answered with a yes.
+// post sends a POST request to the operators' listener, and reports whether the response was 200.
 func (p *process) post(call string) bool {
 	client := http.Client{Timeout: scrapeTimeout, Transport: &http.Transport{DisableKeepAlives: true}}
-	resp, err := client.Post("http://"+p.admin+call, "", nil)
+	resp, err := client.Post("http://"+p.adminAddr+call, "", nil)
 	if err != nil {
 		return false
 	}
@@ -344,40 +347,40 @@
 	return resp.StatusCode == http.StatusOK
 }
 
-// restart starts a process anew after one has ended.
+// restart starts a process after the previous one has exited.
 func (n *node) restart() error {
 	p, err := n.start()
 	if err != nil {
 		return err
 	}
-	n.awaitReady(p, readyLatest)
+	n.awaitReady(p, readyTimeout)
 	return nil
 }
 
-// upgrade has a second process take over.
+// upgrade starts a second process, which takes over the listening socket, and then ends the first.
 func (n *node) upgrade() error {
 	old := n.process()
 	p, err := n.start()
 	if err != nil {
 		return err
 	}
-	n.awaitReady(p, readyUpgrade)
-	n.end(old)
+	n.awaitReady(p, upgradeReadyTimeout)
+	n.terminate(old)
 	return nil
 }
 
-// breakLog has whoever reads the process's log go, or stop reading.
-func (n *node) breakLog(p *process, gone bool) {
-	p.pump.Store(false)
-	if gone && p.logRead != nil {
-		p.logRead.Close()
+// stopLogReader stops reading the process's log; if closePipe is set, it closes the pipe too.
+func (n *node) stopLogReader(p *process, closePipe bool) {
+	p.logReaderActive.Store(false)
+	if closePipe && p.logReader != nil {
+		p.logReader.Close()
 	}
 }
 
-// counters reads the process's own counts of rules that were broken.
-func (p *process) counters() (violations, denials map[string]int64, err error) {
+// ruleCounters reads the process's own metrics of rule violations and of denials, by rule.
+func (p *process) ruleCounters() (violations, denials map[string]int64, err error) {
 	client := http.Client{Timeout: scrapeTimeout, Transport: &http.Transport{DisableKeepAlives: true}}
-	resp, err := client.Get("http://" + p.admin + "/metrics")
+	resp, err := client.Get("http://" + p.adminAddr + "/metrics")
 	if err != nil {
 		return nil, nil, err
 	}
@@ -385,25 +388,25 @@
 	violations, denials = make(map[string]int64), make(map[string]int64)
 	lines := bufio.NewScanner(resp.Body)
 	for lines.Scan() {
-		into := violations
+		counts := violations
 		rest, ok := strings.CutPrefix(lines.Text(), `wayhold_rule_violations_total{rule="`)
 		if !ok {
 			if rest, ok = strings.CutPrefix(lines.Text(), `wayhold_rule_denials_total{rule="`); !ok {
 				continue
 			}
-			into = denials
+			counts = denials
 		}
 		name, value, _ := strings.Cut(rest, `"} `)
 		count, err := strconv.ParseFloat(value, 64)
 		if err != nil {
 			return nil, nil, fmt.Errorf("metrics: %q: %w", lines.Text(), err)
 		}
-		into[name] += int64(count)
+		counts[name] += int64(count)
 	}
 	return violations, denials, lines.Err()
 }
 
-// memoryKB is a field of the process's status, in kB.
+// memoryKB returns a memory field of /proc/PID/status in kB, or 0 on an error.
 func (p *process) memoryKB(name string) int64 {
 	raw, err := os.ReadFile(fmt.Sprintf("/proc/%d/status", p.cmd.Process.Pid))
 	if err != nil {
@@ -418,10 +421,10 @@
 	return 0
 }
 
-// metric is one of the process's metrics without labels; 0 where it can't be told.
+// metric returns a metric without labels, or 0 on an error.
 func (p *process) metric(name string) float64 {
 	client := http.Client{Timeout: scrapeTimeout, Transport: &http.Transport{DisableKeepAlives: true}}
-	resp, err := client.Get("http://" + p.admin + "/metrics")
+	resp, err := client.Get("http://" + p.adminAddr + "/metrics")
 	if err != nil {
 		return 0
 	}
@@ -435,23 +438,23 @@
 	return 0
 }
 
-// processorTime is what the process has used of the processor; 0 where it can't be told.
+// processorTime returns the user and system time of the process, or 0 on an error.
 func (p *process) processorTime() time.Duration {
 	raw, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", p.cmd.Process.Pid))
 	if err != nil {
 		return 0
 	}
-	_, rest, _ := strings.Cut(string(raw), ") ") // behind the name, which may hold anything
+	_, rest, _ := strings.Cut(string(raw), ") ") // the command name before it may contain spaces
 	fields := strings.Fields(rest)
-	if len(fields) < statFields {
+	if len(fields) < statFieldCount {
 		return 0
 	}
-	user, _ := strconv.ParseInt(fields[statFields-2], 10, 64)
-	system, _ := strconv.ParseInt(fields[statFields-1], 10, 64)
-	return time.Duration(user+system) * time.Second / clockTicks
+	user, _ := strconv.ParseInt(fields[statFieldCount-2], 10, 64)
+	system, _ := strconv.ParseInt(fields[statFieldCount-1], 10, 64)
+	return time.Duration(user+system) * time.Second / clockTicksPerSecond
 }
 
-// descriptors is how many the process has open.
+// descriptors returns how many file descriptors the process has open, or 0 on an error.
 func (p *process) descriptors() int {
 	files, err := os.ReadDir(fmt.Sprintf("/proc/%d/fd", p.cmd.Process.Pid))
 	if err != nil {
@@ -460,7 +463,7 @@
 	return len(files)
 }
 
-// writeConfig writes the configuration file in one step, as the platform does.
+// writeConfig replaces the configuration file atomically, as the platform does.
 func writeConfig(name string, config any) error {
 	raw, err := json.Marshal(config)
 	if err != nil {
@@ -472,6 +475,7 @@
 	return os.Rename(name+".new", name)
 }
 
+// statusOK tells whether a GET request to the URL is answered with 200.
 func statusOK(url string) bool {
 	client := http.Client{Timeout: scrapeTimeout, Transport: &http.Transport{DisableKeepAlives: true}}
 	resp, err := client.Get(url)
@@ -483,7 +487,8 @@
 	return resp.StatusCode == http.StatusOK
 }
 
-// freeAddress is one of a loopback host that no other run uses meanwhile.
+// freeAddress returns an address with a free port on a loopback host. Parallel runs use different hosts, so that
+// none takes another's port.
 func freeAddress(host string) (string, error) {
 	ln, err := net.Listen("tcp", net.JoinHostPort(host, "0"))
 	if err != nil {
--- a/internal/soak/overload.go
+++ b/internal/soak/overload.go
@@ -57,12 +57,12 @@
 	for _, c := range p.classes() {
 		longest = max(longest, c.Deadline)
 	}
-	return min(longest, longestSpan)
+	return min(longest, longestDeadlineCap)
 }
 
 // newOverload generates an overload.
 func newOverload(rng *rand.Rand, o Options, rate float64) *Overload {
-	v := &Overload{GroupSize: overloadGroup, ReleaseFraction: releaseFraction, ServiceTime: meanWork}
+	v := &Overload{GroupSize: overloadGroup, ReleaseFraction: releaseFraction, ServiceTime: meanServiceTime}
 	if rng.IntN(2) == 0 { // in half of the plans every answer misses the aim, in the others only the capacity falls short
 		v.ServiceTime = slowServiceTime
 	}
@@ -79,7 +79,7 @@
 	if p.Overload != nil {
 		return overloadClasses
 	}
-	return classes
+	return defaultClasses
 }
 
 // groupSize returns the group size in the nodes' settings.
@@ -130,7 +130,7 @@
 		for _, s := range r.setPhase(phases, first-2*step, step, phaseUp) {
 			r.checker.ColdStart(s, warmCapacity, now)
 		}
-		r.registry.changeAll(phases, now.UnixMilli())
+		r.registry.setPhases(phases, now.UnixMilli())
 		r.sleep(ctx, releaseStepInterval)
 	}
 }
@@ -147,7 +147,7 @@
 // requestWithRetries sends a request, and retries it while it is refused, or fails and is free to repeat, until the
 // client's deadline or maxTries.
 func (p *clientPool) requestWithRetries(n *node) {
-	class := p.class()
+	class := p.randomClass()
 	began := time.Now()
 	for i := range maxTries {
 		remaining := class.Deadline - time.Since(began)
@@ -159,27 +159,27 @@
 			(class.Repeat != "free" || status == http.StatusOK || status == 0) {
 			return
 		}
-		time.Sleep(time.Duration(p.float() * float64(maxBackoff)))
+		time.Sleep(time.Duration(p.randomFloat() * float64(maxBackoff)))
 	}
 }
 
 // requestOnce sends one try of a request, and returns the status of the answer, or 0 if there was none.
 func (p *clientPool) requestOnce(n *node, class Class, timeout time.Duration, retry bool) int {
-	c, err := p.take(n)
+	c, err := p.getConn(n)
 	if c == nil || err != nil {
 		return 0
 	}
 	class.Deadline = timeout.Truncate(time.Millisecond)
-	r, text := p.begin(n, class, retry)
-	if !p.write(c, text) {
+	r, text := p.newRequest(n, class, retry)
+	if !p.writeRequest(c, text) {
 		c.Close()
 		return 0
 	}
 	sent := time.Now()
 	p.checker.Sent(r, sent)
 	c.uses++
-	if p.answer(n, c, r, sent) {
-		p.putBack(n, c)
+	if p.readAnswer(n, c, r, sent) {
+		p.putConn(n, c)
 	} else {
 		c.Close()
 	}
@@ -203,7 +203,7 @@
 	Served        float64       `json:"served"`         // fraction of the answered tries with status 200
 }
 
-// growthLimit is one row of the operators' table of limits (STANDING, fleets with up to sixteen times the transcribers).
+// usageLimit is one row of the operators' table of limits (STANDING, fleets with up to sixteen times the transcribers).
 type usageLimit struct {
 	name               string
 	factor             float64 // of the usage at the usual size
@@ -256,7 +256,7 @@
 	r.mu.Lock()
 	u.Descriptors = r.maxDescriptors
 	r.mu.Unlock()
-	u.ListBytes = float64(r.registry.written.Load()) / float64(len(r.nodes))
+	u.ListBytes = float64(r.registry.bytesWritten.Load()) / float64(len(r.nodes))
 	u.Served = r.checker.servedRatio()
 	return u
 }
--- a/internal/soak/registry.go
+++ b/internal/soak/registry.go
@@ -15,48 +15,49 @@
 	"cobaltward/internal/scale"
 )
 
-// Phases of a listed server (PROTOCOL, Discovery).
+// Phases of a server in the list (PROTOCOL, Discovery).
 const (
 	phaseUp       = "up"
 	phaseDraining = "draining"
 	phaseRemoved  = "removed"
 )
 
-// fault is how the registry fails for now.
-type fault int
+// registryFault is the way in which the registry fails at present.
+type registryFault int
 
 const (
-	faultNone fault = iota
-	faultDown       // every call is reset
-	faultMute       // calls are never answered
-	faultSlow       // answers wait
+	faultNone   registryFault = iota
+	faultDown                 // every connection is reset
+	faultSilent               // calls are never answered
+	faultSlow                 // answers are delayed by slowResponseDelay
 )
 
-const slowBy = 400 * time.Millisecond
+const slowResponseDelay = 400 * time.Millisecond
 
-// registry stands in for discovery. Each node has ports of its own, so that what was written to it is known.
+// registry is a stand-in for discovery. Each node has its own listeners, so that the registry knows what it has written
+// to which node.
 type registry struct {
 	checker *Checker
 
-	mu       sync.Mutex
-	changed  chan struct{} // closed at the next change
-	revision int64
-	entries  []scale.Entry
-	changes  []int64 // each entry's revision
-	removed  []bool
-	fault    fault
-	cut      chan struct{} // closed when open watches are reset
-	servers  []*http.Server
-	written  atomic.Int64 // bytes of lists, to all nodes
+	mu              sync.Mutex
+	changed         chan struct{} // closed and replaced at each change of the list
+	revision        int64
+	entries         []scale.Entry
+	changeRevisions []int64 // by server: the revision of its last change
+	removed         []bool
+	fault           registryFault
+	watchesReset    chan struct{} // closed and replaced when open watches are reset
+	httpServers     []*http.Server
+	bytesWritten    atomic.Int64 // bytes of lists, to all nodes
 }
 
-func newRegistry(judge *Checker, entries []scale.Entry) *registry {
-	return &registry{checker: judge, changed: make(chan struct{}), cut: make(chan struct{}), revision: 1,
-		entries: slices.Clone(entries), changes: make([]int64, len(entries)), removed: make([]bool, len(entries))}
+func newRegistry(checker *Checker, entries []scale.Entry) *registry {
+	return &registry{checker: checker, changed: make(chan struct{}), watchesReset: make(chan struct{}), revision: 1,
+		entries: slices.Clone(entries), changeRevisions: make([]int64, len(entries)), removed: make([]bool, len(entries))}
 }
 
-// port listens for one node, and returns the address.
-func (r *registry) port(node int) (string, error) {
+// addListener starts a listener for one node, and returns its address.
+func (r *registry) addListener(node int) (string, error) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return "", err
@@ -64,22 +65,22 @@
 	s := &http.Server{Handler: http.HandlerFunc(func(w http.ResponseWriter, req *http.Request) { r.serve(w, req, node) }),
 		ReadHeaderTimeout: badPeerLimit}
 	r.mu.Lock()
-	r.servers = append(r.servers, s)
+	r.httpServers = append(r.httpServers, s)
 	r.mu.Unlock()
-	go s.Serve(ln) // its error is that of a closed listener
+	go s.Serve(ln) // returns an error only when the listener is closed
 	return ln.Addr().String(), nil
 }
 
 func (r *registry) close() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	for _, s := range r.servers {
+	for _, s := range r.httpServers {
 		s.Close()
 	}
 }
 
-// known is the list as it stands.
-func (r *registry) known() []scale.Entry {
+// currentEntries returns the entries of the current list.
+func (r *registry) currentEntries() []scale.Entry {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	var list []scale.Entry
@@ -91,19 +92,20 @@
 	return list
 }
 
-// change lists a server anew, with the given phase.
-func (r *registry) change(server int, phase string, upSince int64) {
-	r.changeAll(map[int]string{server: phase}, upSince)
+// setPhase changes a server's phase in the list.
+func (r *registry) setPhase(server int, phase string, upSince int64) {
+	r.setPhases(map[int]string{server: phase}, upSince)
 }
 
-// changeAll lists servers anew in one step, with the given phases. Those that are up have started then; 0: as before.
-func (r *registry) changeAll(phases map[int]string, upSince int64) {
+// setPhases changes the phases of servers in one revision of the list. upSince is the start time of those that are up, in
+// Unix milliseconds; 0 keeps their previous one.
+func (r *registry) setPhases(phases map[int]string, upSince int64) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.revision++
 	for server, phase := range phases {
 		e := &r.entries[server]
-		e.Phase, r.changes[server], r.removed[server] = phase, r.revision, phase == phaseRemoved
+		e.Phase, r.changeRevisions[server], r.removed[server] = phase, r.revision, phase == phaseRemoved
 		if phase != phaseUp {
 			r.checker.ServerLeaving(server, time.Now())
 			continue
@@ -117,8 +119,8 @@
 	r.changed = make(chan struct{})
 }
 
-// fail has the registry fail in one way from now on; faultNone ends it.
-func (r *registry) fail(f fault) {
+// setFault makes the registry fail in the given way from now on; faultNone ends the outage.
+func (r *registry) setFault(f registryFault) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if (f == faultNone) != (r.fault == faultNone) {
@@ -126,34 +128,35 @@
 	}
 	r.fault = f
 	if f == faultDown {
-		r.reset()
+		r.resetWatchesLocked()
 	}
 }
 
-// cutWatches resets all open watches once.
-func (r *registry) cutWatches() {
+// resetWatches resets all open watches once.
+func (r *registry) resetWatches() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.reset()
+	r.resetWatchesLocked()
 }
 
-func (r *registry) reset() {
-	close(r.cut)
-	r.cut = make(chan struct{})
+// resetWatchesLocked resets all open watches; mu is held.
+func (r *registry) resetWatchesLocked() {
+	close(r.watchesReset)
+	r.watchesReset = make(chan struct{})
 }
 
 func (r *registry) serve(w http.ResponseWriter, req *http.Request, node int) {
 	r.mu.Lock()
-	fault, cut := r.fault, r.cut
+	fault, cut := r.fault, r.watchesReset
 	r.mu.Unlock()
 	switch fault {
 	case faultDown:
 		panic(http.ErrAbortHandler)
-	case faultMute:
+	case faultSilent:
 		<-req.Context().Done()
 		return
 	case faultSlow:
-		time.Sleep(slowBy)
+		time.Sleep(slowResponseDelay)
 	}
 	index, wait := int64(-1), time.Duration(0)
 	if q := req.URL.Query(); q.Has("index") {
@@ -161,16 +164,17 @@
 		ms, _ := strconv.ParseInt(q.Get("wait"), 10, 64)
 		wait = time.Duration(ms) * time.Millisecond
 	}
-	if !r.await(req.Context(), index, wait, cut) {
+	if !r.awaitChange(req.Context(), index, wait, cut) {
 		panic(http.ErrAbortHandler)
 	}
-	r.write(w, index, node)
+	r.writeList(w, index, node)
 }
 
-// await waits until there is something newer than the index; false: the call is to be reset.
-func (r *registry) await(ctx context.Context, index int64, wait time.Duration, cut chan struct{}) bool {
-	late := time.NewTimer(wait)
-	defer late.Stop()
+// awaitChange waits until the list is newer than the index or the wait is over. It returns false if the connection has to
+// be reset.
+func (r *registry) awaitChange(ctx context.Context, index int64, wait time.Duration, cut chan struct{}) bool {
+	timer := time.NewTimer(wait)
+	defer timer.Stop()
 	for {
 		r.mu.Lock()
 		newer, changed := r.revision > index, r.changed
@@ -180,7 +184,7 @@
 		}
 		select {
 		case <-changed:
-		case <-late.C:
+		case <-timer.C:
 			return true
 		case <-cut:
 			return false
@@ -190,10 +194,11 @@
 	}
 }
 
-// write answers with what is newer than the index, or with the whole list below 0.
-func (r *registry) write(w http.ResponseWriter, index int64, node int) {
+// writeList answers with the entries that are newer than the index, or with the whole list if the index is negative. It tells
+// the checker which departures and starts it has written to the node.
+func (r *registry) writeList(w http.ResponseWriter, index int64, node int) {
 	r.mu.Lock()
-	if r.fault == faultDown || r.fault == faultMute {
+	if r.fault == faultDown || r.fault == faultSilent {
 		r.mu.Unlock()
 		panic(http.ErrAbortHandler)
 	}
@@ -202,9 +207,9 @@
 		Complete bool          `json:"complete"`
 		Members  []scale.Entry `json:"members"`
 	}{r.revision, index < 0, []scale.Entry{}}
-	var left, started []int
+	var leaving, started []int
 	for i, e := range r.entries {
-		if index >= 0 && r.changes[i] <= index || index < 0 && r.removed[i] {
+		if index >= 0 && r.changeRevisions[i] <= index || index < 0 && r.removed[i] {
 			continue
 		}
 		list.Members = append(list.Members, e)
@@ -213,21 +218,21 @@
 		}
 	}
 	for i, e := range r.entries {
-		if e.Phase != phaseUp && (index < 0 || r.changes[i] > index) {
-			left = append(left, i)
+		if e.Phase != phaseUp && (index < 0 || r.changeRevisions[i] > index) {
+			leaving = append(leaving, i)
 		}
 	}
 	r.mu.Unlock()
 	body, err := json.Marshal(list)
 	if err != nil {
-		panic(fmt.Sprint("registry: ", err)) // its types can always be written
+		panic(fmt.Sprint("registry: ", err)) // cannot happen, as its types always encode
 	}
-	r.written.Add(int64(len(body)))
+	r.bytesWritten.Add(int64(len(body)))
 	w.Header().Set("Content-Length", strconv.Itoa(len(body)))
 	if _, err := w.Write(body); err != nil || http.NewResponseController(w).Flush() != nil {
 		return
 	}
-	for _, server := range left {
+	for _, server := range leaving {
 		r.checker.LeaveDelivered(node, server, time.Now())
 	}
 	for _, server := range started {
--- a/internal/soak/run.go
+++ b/internal/soak/run.go
@@ -107,7 +107,7 @@
 			return err
 		}
 		if v := r.plan.Overload; v != nil {
-			s.workTime, s.takes = v.ServiceTime, capacity
+			s.serviceTime, s.capacityLimiter = v.ServiceTime, capacity
 		}
 		r.servers = append(r.servers, s)
 		entries = append(entries, scale.Entry{ID: fmt.Sprintf("s-%04d", i), HostPort: s.addr(), Locality: "a", Flavor: "k",
@@ -125,7 +125,7 @@
 		if err != nil {
 			return err
 		}
-		wg.Go(func() { n.awaitReady(p, readyLatest) })
+		wg.Go(func() { n.awaitReady(p, readyTimeout) })
 	}
 	wg.Wait()
 	return nil
@@ -148,19 +148,19 @@
 		return err
 	}
 	defer ln.Close()
-	n.listen = ln.Addr().String()
+	n.listenAddr = ln.Addr().String()
 	if r.plan.Affects(number, NodeUpgrade) { // for an upgrade, the platform holds the clients' listening socket
-		if n.held, err = ln.(*net.TCPListener).File(); err != nil {
+		if n.heldListener, err = ln.(*net.TCPListener).File(); err != nil {
 			return err
 		}
 	}
-	discovery, err := r.registry.port(number)
+	discovery, err := r.registry.addListener(number)
 	if err != nil {
 		return err
 	}
-	n.config = filepath.Join(n.dir, "config.json")
+	n.configPath = filepath.Join(n.dir, "config.json")
 	r.nodes = append(r.nodes, n)
-	return writeConfig(n.config, r.config(n, discovery, entries))
+	return writeConfig(n.configPath, r.config(n, discovery, entries))
 }
 
 // config returns a node's configuration, in the format of the DEPLOY and WIRE pages.
@@ -180,7 +180,7 @@
 		mode = "subscribe"
 	}
 	return map[string]any{
-		"name": fmt.Sprintf("n%d", n.number), "listen": n.listen, "discovery": discovery,
+		"name": fmt.Sprintf("n%d", n.number), "listen": n.listenAddr, "discovery": discovery,
 		"seed":   fmt.Sprintf("%016x", r.plan.Seed+uint64(n.number)),
 		"limits": map[string]any{"cores": 1.0, "memory_mb": nodeMemoryMB, "sockets": nodeSockets},
 		"known":  map[string]any{"revision": 1, "complete": true, "members": entries},
@@ -204,7 +204,7 @@
 	defer cancel()
 	var wg sync.WaitGroup
 	for _, n := range r.nodes {
-		go n.follow()
+		go n.pollReadiness()
 		wg.Go(func() { r.generateLoad(ctx, n) })
 	}
 	wg.Go(func() { r.sampleUsage(ctx) })
@@ -252,10 +252,10 @@
 
 // send sends one request to a node; in an overload, some clients retry.
 func (r *Run) send(n *node) {
-	if r.plan.Overload != nil && r.clients.float() < retryFraction {
+	if r.plan.Overload != nil && r.clients.randomFloat() < retryFraction {
 		r.clients.requestWithRetries(n)
 	} else {
-		r.clients.request(n)
+		r.clients.sendRequest(n)
 	}
 }
 
@@ -304,19 +304,19 @@
 	}
 	switch d.Kind {
 	case RegistryDown, RegistrySilent, RegistrySlow:
-		r.registry.fail(map[Kind]fault{RegistryDown: faultDown, RegistrySilent: faultMute, RegistrySlow: faultSlow}[d.Kind])
+		r.registry.setFault(map[Kind]registryFault{RegistryDown: faultDown, RegistrySilent: faultSilent, RegistrySlow: faultSlow}[d.Kind])
 		r.wait(d.Duration)
-		r.registry.fail(faultNone)
+		r.registry.setFault(faultNone)
 	case RegistryReset:
-		r.registry.cutWatches()
+		r.registry.resetWatches()
 	case ClientsLeave:
-		r.clients.leave.Store(true)
+		r.clients.leaveEarly.Store(true)
 		r.wait(d.Duration)
-		r.clients.leave.Store(false)
+		r.clients.leaveEarly.Store(false)
 	case ClientsSlow:
-		r.clients.slow.Store(true)
+		r.clients.slowWrites.Store(true)
 		r.wait(d.Duration)
-		r.clients.slow.Store(false)
+		r.clients.slowWrites.Store(false)
 	}
 	return nil
 }
@@ -336,19 +336,19 @@
 	case NodeTerm, NodeKill, NodeUpgrade:
 		return n.replace(d.Kind)
 	case NodeStandby:
-		n.standby(p)
+		n.cycleStandby(p)
 	case NodeReload:
 		return r.reload(n, p)
 	case NodePause:
 		for end := time.Now().Add(d.Duration); time.Now().Before(end); r.wait(2 * maxPause) {
 			n.signal(p, syscall.SIGSTOP)
-			time.Sleep(time.Duration(r.clients.float() * float64(maxPause)))
+			time.Sleep(time.Duration(r.clients.randomFloat() * float64(maxPause)))
 			n.signal(p, syscall.SIGCONT)
 		}
 	case LogClosed, LogStalled:
-		n.breakLog(p, d.Kind == LogClosed)
+		n.stopLogReader(p, d.Kind == LogClosed)
 	case ClientsFlood, ClientsStall, ClientsPipeline:
-		misbehave := map[Kind]func(*node){ClientsFlood: r.clients.flood, ClientsStall: r.clients.stop, ClientsPipeline: r.clients.queue}
+		misbehave := map[Kind]func(*node){ClientsFlood: r.clients.flood, ClientsStall: r.clients.stall, ClientsPipeline: r.clients.pipeline}
 		var wg sync.WaitGroup
 		for range 6 {
 			wg.Go(func() { misbehave[d.Kind](n) })
@@ -356,25 +356,25 @@
 		}
 		wg.Wait()
 	case ClientsIdle:
-		n.crowded.Store(true)
-		r.clients.fill(n, d.Duration)
-		n.crowded.Store(false)
+		n.outOfDescriptors.Store(true)
+		r.clients.openIdleConns(n, d.Duration)
+		n.outOfDescriptors.Store(false)
 	}
 	return nil
 }
 
 // reload changes a node's discovery address and sends SIGHUP, up to three times in a row. The last address stays.
 func (r *Run) reload(n *node, p *process) error {
-	for range 1 + int(r.clients.float()*3) {
-		discovery, err := r.registry.port(n.number)
+	for range 1 + int(r.clients.randomFloat()*3) {
+		discovery, err := r.registry.addListener(n.number)
 		if err != nil {
 			return err
 		}
-		if err := writeConfig(n.config, r.config(n, discovery, r.registry.known())); err != nil {
+		if err := writeConfig(n.configPath, r.config(n, discovery, r.registry.currentEntries())); err != nil {
 			return err
 		}
 		n.signal(p, syscall.SIGHUP)
-		r.wait(time.Duration(r.clients.float() * float64(200*time.Millisecond)))
+		r.wait(time.Duration(r.clients.randomFloat() * float64(200*time.Millisecond)))
 	}
 	return nil
 }
@@ -385,28 +385,28 @@
 		s := r.servers[target]
 		switch d.Kind {
 		case ServerDrain:
-			r.registry.change(target, phaseDraining, 0)
+			r.registry.setPhase(target, phaseDraining, 0)
 		case ServerRemove:
-			r.registry.change(target, phaseRemoved, 0)
+			r.registry.setPhase(target, phaseRemoved, 0)
 		case ServerResetIdle:
 			s.resetConns(false)
 		case ServerCold:
 			now := time.Now()
 			r.checker.ColdStart(target, warmCapacity, now)
 			s.resetConns(true)
-			r.registry.change(target, phaseUp, now.UnixMilli())
+			r.registry.setPhase(target, phaseUp, now.UnixMilli())
 		default:
-			s.kind.Store(d.Kind)
+			s.disruption.Store(d.Kind)
 		}
 	}
 	r.wait(d.Duration)
 	for _, target := range d.Targets {
 		switch d.Kind {
 		case ServerDrain, ServerRemove:
-			r.registry.change(target, phaseUp, 0)
+			r.registry.setPhase(target, phaseUp, 0)
 		case ServerResetIdle, ServerCold:
 		default:
-			r.servers[target].kind.CompareAndSwap(d.Kind, Kind(""))
+			r.servers[target].disruption.CompareAndSwap(d.Kind, Kind(""))
 		}
 	}
 }
@@ -415,7 +415,7 @@
 func (r *Run) finish(cancel func()) Result {
 	res := Result{Plan: r.plan, Violations: make(map[string]int64), Denials: make(map[string]int64)}
 	for _, n := range r.nodes {
-		violations, denials, err := n.process().counters()
+		violations, denials, err := n.process().ruleCounters()
 		if err != nil {
 			r.checker.Report(ruleNotReady, n.number, "no metrics: %v", err)
 		}
@@ -434,13 +434,13 @@
 	cancel()
 	var wg sync.WaitGroup
 	for _, n := range r.nodes {
-		wg.Go(func() { n.end(n.process()) })
+		wg.Go(func() { n.terminate(n.process()) })
 	}
 	wg.Wait()
 	var readyTimes []time.Duration
 	for _, n := range r.nodes {
 		n.mu.Lock()
-		readyTimes = append(readyTimes, n.readies...)
+		readyTimes = append(readyTimes, n.readyTimes...)
 		n.mu.Unlock()
 	}
 	slices.Sort(readyTimes)
@@ -465,8 +465,8 @@
 				n.kill(p)
 			}
 		}
-		if n.held != nil {
-			n.held.Close()
+		if n.heldListener != nil {
+			n.heldListener.Close()
 		}
 	}
 	for _, s := range r.servers {
--- a/internal/soak/server.go
+++ b/internal/soak/server.go
@@ -16,47 +16,48 @@
 )
 
 const (
-	meanWork     = 12 * time.Millisecond
-	mostWork     = 60 * time.Millisecond
-	lateWork     = 700 * time.Millisecond // of a server whose answers come late
-	secondAnswer = 2 * time.Millisecond   // at most, behind the first
-	serverCores  = 4                      // requests in work at once at full use, for its reports
+	meanServiceTime      = 12 * time.Millisecond  // mean of the random service times
+	maxServiceTime       = 60 * time.Millisecond  // upper limit of a random service time
+	lateAnswerDelay      = 700 * time.Millisecond // added to the service time of a server with delayed answers
+	maxSecondAnswerDelay = 2 * time.Millisecond   // longest delay of a second answer after the first
+	fullLoadConcurrency  = 4                      // concurrent requests that it reports as a utilization of 1
 )
 
-// server stands in for one transcriber, byte by byte.
+// server is a stand-in for one transcriber. It writes raw bytes, as disruptions need answers that net/http would not send.
 type server struct {
 	number  int
 	checker *Checker
 	ln      net.Listener
-	// closesAfterAnswer has each connection serve one request.
+	// closesAfterAnswer makes it close each connection after one answer.
 	closesAfterAnswer bool
 
-	workTime time.Duration // of each request; 0: drawn
-	takes    *rate.Limiter // what all servers take together, others are turned away
+	serviceTime     time.Duration // service time of each request; 0: random
+	capacityLimiter *rate.Limiter // shared by all servers; requests above its rate are refused with X-Not-Run
 
-	kind   atomic.Value // of Kind: how it misbehaves now
-	inWork atomic.Int64
-	mu     sync.Mutex
-	rng    *rand.Rand
-	conns  map[*serverConn]bool
-	recent []time.Time // of the last second, for its reports
+	disruption    atomic.Value // of Kind: the current disruption, empty if none
+	inFlight      atomic.Int64 // requests being served
+	mu            sync.Mutex
+	rng           *rand.Rand
+	conns         map[*serverConn]bool
+	recentAnswers []time.Time // times of the answers of the last second, for its load reports
 }
 
-func newServer(number int, judge *Checker, seed uint64) (*server, error) {
+func newServer(number int, checker *Checker, seed uint64) (*server, error) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return nil, err
 	}
-	s := &server{number: number, checker: judge, ln: ln, takes: rate.NewLimiter(rate.Inf, 0), rng: rand.New(rand.NewPCG(seed, uint64(1000+number))),
+	s := &server{number: number, checker: checker, ln: ln, capacityLimiter: rate.NewLimiter(rate.Inf, 0), rng: rand.New(rand.NewPCG(seed, uint64(1000+number))),
 		conns: make(map[*serverConn]bool)}
-	s.kind.Store(Kind(""))
+	s.disruption.Store(Kind(""))
 	go s.run()
 	return s, nil
 }
 
 func (s *server) addr() string { return s.ln.Addr().String() }
 
-func (s *server) now() Kind { return s.kind.Load().(Kind) }
+// currentDisruption returns the server's current disruption, or the empty Kind.
+func (s *server) currentDisruption() Kind { return s.disruption.Load().(Kind) }
 
 func (s *server) run() {
 	for {
@@ -72,7 +73,7 @@
 	}
 }
 
-// resetConns resets its connections: those at rest, or all.
+// resetConns resets the idle connections, or all of them.
 func (s *server) resetConns(all bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -88,39 +89,39 @@
 	s.resetConns(true)
 }
 
-// draw returns random numbers in turn: one below 1, and the work of a request.
+// draw returns the random values for one request: a number in [0, 1) and a service time.
 func (s *server) draw() (float64, time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.rng.Float64(), min(mostWork, time.Duration(s.rng.ExpFloat64()*float64(meanWork)))
+	return s.rng.Float64(), min(maxServiceTime, time.Duration(s.rng.ExpFloat64()*float64(meanServiceTime)))
 }
 
-// report is its load report (PROTOCOL, X-Load).
-func (s *server) report() string {
+// loadReport returns the server's load report (PROTOCOL, X-Load).
+func (s *server) loadReport() string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	now := time.Now()
-	s.recent = append(s.recent, now)
-	for now.Sub(s.recent[0]) > time.Second {
-		s.recent = s.recent[1:]
+	s.recentAnswers = append(s.recentAnswers, now)
+	for now.Sub(s.recentAnswers[0]) > time.Second {
+		s.recentAnswers = s.recentAnswers[1:]
 	}
-	return fmt.Sprintf("util=%.2f,qps=%d", min(1, float64(s.inWork.Load())/serverCores), len(s.recent))
+	return fmt.Sprintf("util=%.2f,qps=%d", min(1, float64(s.inFlight.Load())/fullLoadConcurrency), len(s.recentAnswers))
 }
 
-// serverConn is one connection of a node.
+// serverConn is one connection from a node.
 type serverConn struct {
 	*net.TCPConn
-	server *server
-	busy   atomic.Bool
-	first  time.Time // when the first byte of the request now being read came; only the reader touches it
-	begun  bool
+	server        *server
+	busy          atomic.Bool // a request's header has been read and its answer not yet written
+	firstByteTime time.Time   // when the first byte of the current request arrived; only the reading goroutine uses it
+	requestBegun  bool        // firstByteTime is set for the current request
 }
 
-// Read notes when a request's first byte comes.
+// Read records when a request's first byte arrives.
 func (c *serverConn) Read(p []byte) (int, error) {
 	n, err := c.TCPConn.Read(p)
-	if n > 0 && !c.begun {
-		c.first, c.begun = time.Now(), true
+	if n > 0 && !c.requestBegun {
+		c.firstByteTime, c.requestBegun = time.Now(), true
 	}
 	return n, err
 }
@@ -139,7 +140,7 @@
 	}()
 	in := bufio.NewReader(c)
 	for {
-		c.begun = false
+		c.requestBegun = false
 		c.busy.Store(false)
 		req, err := http.ReadRequest(in)
 		if err != nil {
@@ -149,9 +150,9 @@
 		if _, err := io.Copy(io.Discard, req.Body); err != nil {
 			return
 		}
-		told, _ := strconv.Atoi(req.Header.Get("X-Deadline-Ms"))
+		statedDeadlineMs, _ := strconv.Atoi(req.Header.Get("X-Deadline-Ms"))
 		id := req.Header.Get("X-Request-Id")
-		a := c.server.checker.AttemptBegan(id, c.server.number, c.first, time.Duration(told)*time.Millisecond)
+		a := c.server.checker.AttemptBegan(id, c.server.number, c.firstByteTime, time.Duration(statedDeadlineMs)*time.Millisecond)
 		if !c.serve(id, a, in) {
 			c.server.checker.AttemptEnded(a, time.Now(), false)
 			return
@@ -162,71 +163,72 @@
 	}
 }
 
-// answerBody is what a server answers to a request: nobody else can know it.
+// answerBody returns the body of a server's answer to a request. It differs for each id, so that the checker finds answers
+// to other requests.
 func answerBody(id string) string { return "made for " + id }
 
-// serve works on a request as its server does just now, and reports whether the connection serves another.
+// serve serves a request under the server's current disruption, and reports whether the connection can serve another.
 func (c *serverConn) serve(id string, a *attempt, in *bufio.Reader) bool {
 	s := c.server
-	s.inWork.Add(1)
-	defer s.inWork.Add(-1)
-	chance, work := s.draw()
-	kind := s.now()
-	if s.workTime > 0 {
-		work = s.workTime
+	s.inFlight.Add(1)
+	defer s.inFlight.Add(-1)
+	chance, serviceTime := s.draw()
+	disruption := s.currentDisruption()
+	if s.serviceTime > 0 {
+		serviceTime = s.serviceTime
 	}
-	if !s.takes.Allow() {
+	if !s.capacityLimiter.Allow() {
 		s.checker.AttemptEnded(a, time.Now(), true)
 		_, err := io.WriteString(c, "HTTP/1.1 503 Service Unavailable\r\nX-Not-Run: 1\r\nContent-Length: 0\r\n\r\n")
 		return err == nil
 	}
-	if kind == ServerLate {
-		work += lateWork
+	if disruption == ServerLate {
+		serviceTime += lateAnswerDelay
 	}
-	if kind == ServerHang {
-		work = time.Hour
+	if disruption == ServerHang {
+		serviceTime = time.Hour
 	}
-	if !c.work(work, in) {
+	if !c.simulateWork(serviceTime, in) {
 		return false
 	}
 	body := answerBody(id)
-	whole := fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\nX-Load: %s\r\n\r\n%s", len(body), s.report(), body)
+	response := fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\nX-Load: %s\r\n\r\n%s", len(body), s.loadReport(), body)
 	notRun := false
 	switch {
-	case kind == ServerReset && chance < 0.5:
+	case disruption == ServerReset && chance < 0.5:
 		c.reset()
 		return false
-	case kind == ServerErrors && chance < 0.3:
-		whole = "HTTP/1.1 500 Internal Server Error\r\nContent-Length: 0\r\n\r\n"
-	case kind == ServerErrors && chance < 0.6:
-		whole, notRun = "HTTP/1.1 503 Service Unavailable\r\nX-Not-Run: 1\r\nContent-Length: 0\r\n\r\n", true
-	case kind == ServerEndless && chance < 0.5:
-		return c.endless()
-	case kind == ServerSmallWrites:
-		return c.pieces(a, whole, body, chance)
-	case kind == ServerDoubleAnswer && chance < 0.5:
+	case disruption == ServerErrors && chance < 0.3:
+		response = "HTTP/1.1 500 Internal Server Error\r\nContent-Length: 0\r\n\r\n"
+	case disruption == ServerErrors && chance < 0.6:
+		response, notRun = "HTTP/1.1 503 Service Unavailable\r\nX-Not-Run: 1\r\nContent-Length: 0\r\n\r\n", true
+	case disruption == ServerEndless && chance < 0.5:
+		return c.writeEndless()
+	case disruption == ServerSmallWrites:
+		return c.writeInPieces(a, response, body, chance)
+	case disruption == ServerDoubleAnswer && chance < 0.5:
 		s.checker.AttemptEnded(a, time.Now(), false)
-		_, _ = io.WriteString(c, whole)
-		time.Sleep(time.Duration(chance * 2 * float64(secondAnswer)))
-		_, err := io.WriteString(c, whole)
+		_, _ = io.WriteString(c, response)
+		time.Sleep(time.Duration(chance * 2 * float64(maxSecondAnswerDelay)))
+		_, err := io.WriteString(c, response)
 		return err == nil
 	}
 	s.checker.AttemptEnded(a, time.Now(), notRun)
-	_, err := io.WriteString(c, whole)
+	_, err := io.WriteString(c, response)
 	return err == nil
 }
 
-// work lets the time of the work go by; false: the node closed the connection first.
-func (c *serverConn) work(d time.Duration, in *bufio.Reader) bool {
-	_ = c.SetReadDeadline(time.Now().Add(d))
+// simulateWork waits for the service time. It returns false if the node closes the connection first.
+func (c *serverConn) simulateWork(serviceTime time.Duration, in *bufio.Reader) bool {
+	_ = c.SetReadDeadline(time.Now().Add(serviceTime))
 	_, err := in.Peek(1)
 	_ = c.SetReadDeadline(time.Time{})
 	timeout, ok := err.(net.Error)
 	return err == nil || ok && timeout.Timeout()
 }
 
-// endless writes an answer that never ends, until the node closes the connection.
-func (c *serverConn) endless() bool {
+// writeEndless writes a chunked answer without end until the node closes the connection.
+func (c *serverConn) writeEndless() bool {
 	_, err := io.WriteString(c, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
 	for err == nil {
 		_, err = io.WriteString(c, "8\r\nnever en\r\n")
@@ -235,24 +237,25 @@
 	return false
 }
 
-// pieces writes an answer cut anywhere; some have no length and end with the connection, in order or by a reset.
-func (c *serverConn) pieces(a *attempt, whole, body string, chance float64) bool {
+// writeInPieces writes an answer in small writes. Some answers have no length and end with the connection, and some of
+// those are truncated and end with a reset.
+func (c *serverConn) writeInPieces(a *attempt, response, body string, chance float64) bool {
 	reusable := chance < 0.6
 	if !reusable {
-		whole = "HTTP/1.1 200 OK\r\nConnection: close\r\n\r\n" + body
+		response = "HTTP/1.1 200 OK\r\nConnection: close\r\n\r\n" + body
 	}
-	if chance > 0.8 { // a reset is no end
-		whole = whole[:len(whole)-3]
+	if chance > 0.8 { // the truncated answer ends with a reset, which must not count as its end
+		response = response[:len(response)-3]
 	}
-	for len(whole) > 0 {
-		n := min(len(whole), 7+len(whole)/5)
-		if n == len(whole) && reusable {
+	for len(response) > 0 {
+		n := min(len(response), 7+len(response)/5)
+		if n == len(response) && reusable {
 			c.server.checker.AttemptEnded(a, time.Now(), false)
 		}
-		if _, err := io.WriteString(c, whole[:n]); err != nil {
+		if _, err := io.WriteString(c, response[:n]); err != nil {
 			return false
 		}
-		whole = whole[n:]
+		response = response[n:]
 		time.Sleep(time.Millisecond)
 	}
 	if chance > 0.8 {
--- a/policy/index_test.go
+++ b/policy/index_test.go
@@ -9,146 +9,146 @@
 	"testing"
 )
 
-// order is all servers in service in packing order.
-func (b *Balancer) order() []*server { return slices.Collect(b.walk(&b.fleet)) }
+// packingOrder returns all servers in service in packing order.
+func (b *Balancer) packingOrder() []*server { return slices.Collect(b.walk(&b.fleet)) }
 
-// checkIndexes holds the indexes against plain walks of all servers. It says what it met.
-func checkIndexes(t *testing.T, b *Balancer, met map[string]int) {
+// checkIndexes compares the indexes with linear scans of all servers, and counts in covered which states occurred.
+func checkIndexes(t *testing.T, b *Balancer, covered map[string]int) {
 	t.Helper()
-	var own, others []*server
-	zones := map[string]int{}
+	var ownZone, otherZones []*server
+	serversByZone := map[string]int{}
 	for _, id := range slices.Sorted(maps.Keys(b.servers)) {
 		s := b.servers[id]
 		if s.inService != (s.Availability == Running) {
-			t.Errorf("%s is in service: %v, but %v", id, s.inService, s.Availability)
+			t.Errorf("%s: inService is %v, but availability is %v", id, s.inService, s.Availability)
 		}
 		if s.Availability != Running {
 			continue
 		}
-		if zones[s.Zone]++; s.Zone == b.settings.Zone {
-			own = append(own, s)
+		if serversByZone[s.Zone]++; s.Zone == b.settings.Zone {
+			ownZone = append(ownZone, s)
 		} else {
-			others = append(others, s)
+			otherZones = append(otherZones, s)
 		}
 	}
-	known := map[string]*server{}
+	listed := map[string]*server{}
 	for _, s := range b.membershipOrder {
 		if !s.delisted {
-			known[s.Server] = s
+			listed[s.Server] = s
 		}
 	}
-	if !maps.Equal(known, b.servers) || len(b.membershipOrder) > 2*len(b.servers)+65 {
-		t.Errorf("%d on the roll, %d of them listed, want %d", len(b.membershipOrder), len(known), len(b.servers))
+	if !maps.Equal(listed, b.servers) || len(b.membershipOrder) > 2*len(b.servers)+65 {
+		t.Errorf("%d servers in membershipOrder, %d of them listed, want %d", len(b.membershipOrder), len(listed), len(b.servers))
 	}
-	if !maps.Equal(zones, b.serversByZone) {
-		t.Errorf("servers by zone %v, want %v", b.serversByZone, zones)
+	if !maps.Equal(serversByZone, b.serversByZone) {
+		t.Errorf("servers by zone %v, want %v", b.serversByZone, serversByZone)
 	}
-	if b.settings.Nodes > maxUnstaggeredNodes { // each node begins elsewhere
-		_, at := math.Modf(float64(b.settings.Node) / math.Phi)
-		for _, part := range []*[]*server{&own, &others} {
-			k := int(at * float64(len(*part)))
-			*part = slices.Concat((*part)[k:], (*part)[:k])
+	if b.settings.Nodes > maxUnstaggeredNodes { // each node starts its walk at another server
+		_, fraction := math.Modf(float64(b.settings.Node) / math.Phi)
+		for _, list := range []*[]*server{&ownZone, &otherZones} {
+			first := int(fraction * float64(len(*list)))
+			*list = slices.Concat((*list)[first:], (*list)[:first])
 		}
 	}
-	order := slices.Concat(own, others)
-	safest := make(map[*server]Repeat)
+	order := slices.Concat(ownZone, otherZones)
+	mostRepeatable := make(map[*server]Repeat)
 	for _, c := range append(b.classList, &class{index: -1, eligible: &b.fleet}) {
-		var open []*server
-		zoned, ejected := 0, 0
+		var eligible []*server
+		ownZoneCount, ejected := 0, 0
 		for i, s := range order {
 			if !c.permits(s) {
 				continue
 			}
-			open = append(open, s)
-			if i < len(own) {
-				zoned++
+			eligible = append(eligible, s)
+			if i < len(ownZone) {
+				ownZoneCount++
 			}
 			if s.health.ejected {
 				ejected++
 			}
 			if c.index >= 0 {
-				safest[s] = max(safest[s], c.Repeat)
+				mostRepeatable[s] = max(mostRepeatable[s], c.Repeat)
 			}
 		}
-		if got := slices.Collect(b.walk(c.eligible)); !slices.Equal(got, open) || c.eligible.len() != len(open) {
-			t.Errorf("class %q: another order, of %d servers, want %d", c.Name, len(got), len(open))
+		if got := slices.Collect(b.walk(c.eligible)); !slices.Equal(got, eligible) || c.eligible.len() != len(eligible) {
+			t.Errorf("class %q: wrong walk of %d servers, want %d", c.Name, len(got), len(eligible))
 		}
-		if got := c.eligible.ownZone.serving.len(); got != zoned {
-			t.Errorf("class %q: %d servers of the own zone, want %d", c.Name, got, zoned)
+		if got := c.eligible.ownZone.serving.len(); got != ownZoneCount {
+			t.Errorf("class %q: %d servers in the own zone, want %d", c.Name, got, ownZoneCount)
 		}
 		if c.eligible.ejectedCount != ejected {
 			t.Errorf("class %q: %d ejected, want %d", c.Name, c.eligible.ejectedCount, ejected)
 		}
-		met["ejected"] += ejected
+		covered["ejected"] += ejected
 	}
-	out, warm := 0, 0
-	var parts []float64
+	inFlight, warm := 0, 0
+	var faultRates []float64
 	for _, s := range order {
-		if s.group.mostRepeatable != safest[s] {
-			t.Errorf("%s: the safest class may be repeated %v, want %v", s.Server, s.group.mostRepeatable, safest[s])
+		if s.group.mostRepeatable != mostRepeatable[s] {
+			t.Errorf("%s: mostRepeatable is %v, want %v", s.Server, s.group.mostRepeatable, mostRepeatable[s])
 		}
 		if b.rampFraction(s) >= 1 && !s.health.ejected {
 			warm++
-			out += s.inflight
-			for _, g := range s.abandoned {
-				if g.until > b.now {
-					out++
-					met["lateResponses"]++
+			inFlight += s.inflight
+			for _, late := range s.abandoned {
+				if late.until > b.now {
+					inFlight++
+					covered["lateResponses"]++
 				}
 			}
 		}
 		if s.lastAnswer > 0 {
-			parts = append(parts, s.faultRate)
+			faultRates = append(faultRates, s.faultRate)
 		}
 	}
-	if gotOut, got := b.warmLoad(); b.oversubscribed() && (gotOut != out || got != warm) {
-		t.Errorf("%d attempts at %d warm servers, want %d at %d", gotOut, got, out, warm)
+	if gotInFlight, gotWarm := b.warmLoad(); b.oversubscribed() && (gotInFlight != inFlight || gotWarm != warm) {
+		t.Errorf("%d attempts at %d warm servers, want %d at %d", gotInFlight, gotWarm, inFlight, warm)
 	}
-	met["cold"] += len(order) - warm
-	switch m := b.medianByFaults(); {
-	case len(parts) == 0:
-		if m != nil {
-			t.Errorf("the median server is %s, but none answered", m.Server)
+	covered["cold"] += len(order) - warm
+	switch median := b.medianByFaults(); {
+	case len(faultRates) == 0:
+		if median != nil {
+			t.Errorf("the median server is %s, want none since no server has answered", median.Server)
 		}
 	default:
-		slices.Sort(parts)
-		if want := parts[(len(parts)-1)/2]; m == nil || m.faultRate != want {
-			t.Errorf("the median part of faults is not %v", want)
+		slices.Sort(faultRates)
+		if want := faultRates[(len(faultRates)-1)/2]; median == nil || median.faultRate != want {
+			t.Errorf("the median fault rate is not %v", want)
 		} else if want > 0 {
-			met["faults"]++
+			covered["faults"]++
 		}
 	}
 }
 
-func TestIndexesAgreeWithPlainWalks(t *testing.T) {
-	met := map[string]int{}
-	for seed := range uint64(goldenWorlds) {
-		g := newGolden(seed)
-		g.check = func(g *golden) {
-			if every := 1 + len(g.list)*len(g.set.Classes)/200; g.n%every == 0 {
-				checkIndexes(t, g.b, met)
-				checkChoices(t, g.b, met)
+func TestIndexesMatchLinearScans(t *testing.T) {
+	covered := map[string]int{}
+	for seed := range uint64(goldenSeedCount) {
+		g := newGoldenRun(seed)
+		g.afterEvent = func(g *goldenRun) {
+			if every := 1 + len(g.listed)*len(g.settings.Classes)/200; g.eventCount%every == 0 {
+				checkIndexes(t, g.balancer, covered)
+				checkChoices(t, g.balancer, covered)
 			}
 			if t.Failed() {
-				t.Fatalf("seed %d, after %d events", seed, g.n)
+				t.Fatalf("seed %d, after %d events", seed, g.eventCount)
 			}
 		}
-		g.play(200)
+		g.simulate(200)
 	}
-	for _, what := range []string{"ejected", "lateResponses", "cold", "faults", "picked", "not picked", "tried"} {
-		if met[what] < 100 {
-			t.Errorf("%s met only %d times", what, met[what])
+	for _, branch := range []string{"ejected", "lateResponses", "cold", "faults", "picked", "not picked", "tried"} {
+		if covered[branch] < 100 {
+			t.Errorf("%s occurred only %d times, want at least 100", branch, covered[branch])
 		}
 	}
-	t.Log(met)
+	t.Log(covered)
 }
 
-// plainPick is pick by walks of all servers, with the budgets of cold servers as they were last brought up to date.
-func (b *Balancer) plainPick(r *request) (*server, bool) {
+// linearPick is pick by linear scans of all servers. It uses the budgets of cold servers as of their last refill.
+func (b *Balancer) linearPick(r *request) (*server, bool) {
 	usable := func(s *server) bool {
 		return !s.health.ejected && b.mayRun(r, s) && (b.rampFraction(s) >= 1 || s.cold.tokens >= 1)
 	}
-	for _, s := range b.order() {
+	for _, s := range b.packingOrder() {
 		if b.rampFraction(s) < 1 && usable(s) && b.hasRoom(s) {
 			return s, true
 		}
@@ -157,7 +157,7 @@
 		return nil, false
 	}
 	var least *server
-	for _, s := range b.order() {
+	for _, s := range b.packingOrder() {
 		if !usable(s) {
 			continue
 		}
@@ -174,12 +174,12 @@
 	return least, least != nil && !least.thresholdCut
 }
 
-// plainTrial is which ejected server trial would try, by a walk of all servers; nil for none.
-func (b *Balancer) plainTrial(r *request) *server {
+// linearPickTrial returns what pickTrial should return, by a linear scan of all servers; nil for none.
+func (b *Balancer) linearPickTrial(r *request) *server {
 	if !r.class.eligible.hasClasses || len(r.attempts) > 0 || b.savedTrials < 1 {
 		return nil
 	}
-	for _, s := range b.order() {
+	for _, s := range b.packingOrder() {
 		h := &s.health
 		if r.class.permits(s) && h.ejected && !h.trialPending && b.now >= h.ejectedUntil && r.class.Repeat >= s.group.mostRepeatable &&
 			(b.rampFraction(s) >= 1 || s.cold.tokens >= 1) {
@@ -189,66 +189,67 @@
 	return nil
 }
 
-// checkChoices holds the choices of a server for requests of each class, new and sent before, against plain walks.
-func checkChoices(t *testing.T, b *Balancer, met map[string]int) {
+// checkChoices compares the servers picked for requests of each class, new ones and ones that were sent before, with
+// linear scans.
+func checkChoices(t *testing.T, b *Balancer, covered map[string]int) {
 	t.Helper()
-	order := b.order()
-	if len(order) == 0 || b.serversShared() { // where thresholds are scaled, a server's pace is put right in turn
+	order := b.packingOrder()
+	if len(order) == 0 || b.serversShared() { // with scaled thresholds, the indexed send intervals are only corrected round-robin
 		return
 	}
 	for i, c := range append(b.classList, &class{index: -1, eligible: &b.fleet}) {
-		one, two := order[(b.listGeneration+i)%len(order)], order[(b.listGeneration+7*i)%len(order)]
-		ran := []attempt{{server: one, sent: b.now}, {server: two, sent: b.now, notRun: true, ended: true}}
-		for _, r := range []*request{{class: c}, {class: c, attempts: ran[1:]}, {class: c, attempts: ran, firstRun: &ran[0]}} {
-			want, wantRoom := b.plainPick(r)
+		first, second := order[(b.listGeneration+i)%len(order)], order[(b.listGeneration+7*i)%len(order)]
+		attempts := []attempt{{server: first, sent: b.now}, {server: second, sent: b.now, notRun: true, ended: true}}
+		for _, r := range []*request{{class: c}, {class: c, attempts: attempts[1:]}, {class: c, attempts: attempts, firstRun: &attempts[0]}} {
+			want, wantRoom := b.linearPick(r)
 			if got, room := b.pick(r); got != want || room != wantRoom {
-				t.Errorf("class %q, after %d attempts: picked %v (room %v), want %v (%v)", c.Name, len(r.attempts), got, room, want, wantRoom)
+				t.Errorf("class %q, after %d attempts: picked %v (room %v), want %v (room %v)", c.Name, len(r.attempts), got, room, want, wantRoom)
 			}
 			if want != nil {
-				met["picked"]++
+				covered["picked"]++
 			} else {
-				met["not picked"]++
+				covered["not picked"]++
 			}
-			wantTrial := b.plainTrial(r)
+			wantTrial := b.linearPickTrial(r)
 			trials := b.savedTrials
 			if got := b.pickTrial(r); got != wantTrial {
-				t.Errorf("class %q: tried %v, want %v", c.Name, got, wantTrial)
+				t.Errorf("class %q: picked %v for a trial, want %v", c.Name, got, wantTrial)
 			} else if got != nil {
-				met["tried"]++
+				covered["tried"]++
 				got.health.trialPending, b.savedTrials = false, trials
 			}
 		}
 	}
 }
 
-// A part keeps the order and the place that its walks begin at, as thousands come and go in any order, and its searches
-// find what plain walks find.
-func TestPartsKeepTheirOrder(t *testing.T) {
+// A server set keeps its order and the start of its walks while thousands of servers are added and removed in any order,
+// and its searches return the same as linear scans.
+func TestServerSetKeepsItsOrder(t *testing.T) {
 	rng := rand.New(rand.NewPCG(1, 2))
 	p := newServerSet(new(int))
 	all := map[string]*server{}
 	for i := range 20_000 {
 		id := fmt.Sprint(rng.IntN(4000))
-		if grow := i/5000%2 == 0; all[id] == nil && (grow || rng.IntN(4) == 0) {
+		if growing := i/5000%2 == 0; all[id] == nil && (growing || rng.IntN(4) == 0) {
 			all[id] = &server{Member: Member{Server: id}, hash: hash(id)}
 			p.insert(all[id], true)
-		} else if all[id] != nil && (!grow || rng.IntN(4) == 0) {
+		} else if all[id] != nil && (!growing || rng.IntN(4) == 0) {
 			p.remove(all[id], true)
 			delete(all, id)
 		} else if all[id] != nil {
 			all[id].status.keys = treeKeys{float64(rng.IntN(50)), float64(rng.IntN(50))}
 			p.serving.set(all[id], all[id].status.keys)
 		}
-		k := int(0.618 * float64(p.serving.len()))
-		if p.setWalkStart(k); i%100 != 0 {
+		first := int(0.618 * float64(p.serving.len()))
+		if p.setWalkStart(first); i%100 != 0 {
 			continue
 		}
 		ids := slices.Sorted(maps.Keys(all))
-		ids = slices.Concat(ids[k:], ids[:k])
+		ids = slices.Concat(ids[first:], ids[:first])
 		var got []string
 		p.serving.each(p.walkStart, func(s *server) bool { got = append(got, s.Server); return true })
 		if !slices.Equal(got, ids) || p.serving.len() != len(ids) {
-			t.Fatalf("after %d changes: %d servers in another order than %d wanted", i, len(got), len(ids))
+			t.Fatalf("after %d changes: wrong order of %d servers, want %d", i, len(got), len(ids))
 		}
 		checkSearches(t, &p, ids, all)
 		if n := p.keys.root; n != nil && n.count != len(ids) {
@@ -257,32 +258,32 @@
 	}
 }
 
-// checkSearches holds the searches of a part against a walk of the ids in its order.
+// checkSearches compares the searches of a server set with a linear scan of the ids in its order.
 func checkSearches(t *testing.T, p *serverSet, ids []string, all map[string]*server) {
 	t.Helper()
 	for key := range treeKey(treeKeyCount) {
-		for most := range 10 {
+		for maxKey := range 10 {
 			var want, least *server
 			for _, id := range ids {
 				at := p.serving.keysOf(id)[key]
-				if want == nil && at <= float64(most) {
+				if want == nil && at <= float64(maxKey) {
 					want = all[id]
 				}
 				if at < absent && (least == nil || at < p.serving.keysOf(least.Server)[key]) {
 					least = all[id]
 				}
 			}
-			if got := p.serving.first(p.walkStart, key, float64(most)); got != want {
-				t.Fatalf("the first with a key of at most %d is %v, want %v", most, got, want)
+			if got := p.serving.first(p.walkStart, key, float64(maxKey)); got != want {
+				t.Fatalf("the first server with a key of at most %d is %v, want %v", maxKey, got, want)
 			}
 			if got := p.serving.minServer(p.walkStart, key); got != least {
-				t.Fatalf("the least is %v, want %v", got, least)
+				t.Fatalf("the server with the lowest key is %v, want %v", got, least)
 			}
 		}
 	}
 }
 
-// keysOf finds the keys of a server by its id.
+// keysOf returns the keys of the server with the given id.
 func (t *orderTree) keysOf(id string) treeKeys {
 	for n := t.root; n != nil; {
 		switch {
@@ -297,9 +298,9 @@
 	return allAbsent
 }
 
-// Keys spread evenly over servers, the server that takes over a key is the one that came second, and few other keys move
-// as servers come and go.
-func TestKeysSpreadAndStay(t *testing.T) {
+// Keys spread evenly over the servers. When a server leaves, its keys move to the server that was second for them, and
+// few other keys move.
+func TestKeysSpreadEvenlyAndFewMove(t *testing.T) {
 	const servers, keys = 200, 20_000
 	trie := keyTrie{visits: new(int)}
 	var all []*server
@@ -324,26 +325,26 @@
 	}
 	for _, s := range all {
 		if mean := keys / servers; load[s] < mean/2 || load[s] > 2*mean {
-			t.Errorf("%s is the home of %d keys, the mean is %d", s.Server, load[s], mean)
+			t.Errorf("%s is the first candidate of %d keys, the mean is %d", s.Server, load[s], mean)
 		}
 	}
-	gone := all[37]
-	trie.remove(gone)
+	removed := all[37]
+	trie.remove(removed)
 	moved := 0
 	for k, h := range homes() {
 		switch {
-		case before[k][0] == gone && h[0] != before[k][1]:
-			t.Errorf("key %d: its home left, and %v took over, not the second %v", k, h[0], before[k][1])
-		case before[k][0] != gone && h[0] != before[k][0]:
+		case before[k][0] == removed && h[0] != before[k][1]:
+			t.Errorf("key %d: its first candidate left and %v took over, want the second candidate %v", k, h[0], before[k][1])
+		case before[k][0] != removed && h[0] != before[k][0]:
 			moved++
 		}
 	}
-	if most := 8 * keys / servers; moved > most {
-		t.Errorf("%d keys moved that were not at the server that left, at most %d expected", moved, most)
+	if maxMoved := 8 * keys / servers; moved > maxMoved {
+		t.Errorf("%d keys moved that did not belong to the server that left, want at most %d", moved, maxMoved)
 	}
-	t.Logf("%d of %d keys moved besides the %d of the server that left", moved, keys, load[gone])
-	trie.insert(gone)
+	t.Logf("%d of %d keys moved in addition to the %d of the server that left", moved, keys, load[removed])
+	trie.insert(removed)
 	if homes() != before {
-		t.Error("a server that came back did not get its keys back")
+		t.Error("a server that rejoined did not get its keys back")
 	}
 }
--- a/policy/policy_test.go
+++ b/policy/policy_test.go
@@ -10,7 +10,7 @@
 	k := bucket{tokens: 0, lastRefill: 0}
 	k.refill(599*ms, 1.667, 100)
 	if k.tokens != 0 || k.lastRefill != 0 {
-		t.Fatalf("under one token: got %+v, want nothing added and the refill time kept", k)
+		t.Fatalf("less than one token: got %+v, want no token added and the refill time unchanged", k)
 	}
 	k.refill(1100*ms, 1.667, 100) // 1.83 tokens: one is added, the fraction is lost
 	if k.tokens != 1 || k.lastRefill != 1100*ms {
--- a/policy/random_test.go
+++ b/policy/random_test.go
@@ -9,49 +9,53 @@
 	"time"
 )
 
-// world plays random legal events at one node and checks the rules that a node keeps alone: one final
-// answer in time, no forbidden repeat or refusal, no late send to a draining server, placement, and
-// the budget of attempts. It keeps its own books and shares no code with the module.
-type world struct {
-	t     *testing.T
-	rng   *rand.Rand
-	set   Settings
-	b     *Balancer
-	now   Time
-	list  map[string]Member
-	told  map[string]Time // when a server was said to drain or be gone
-	open  map[string]*play
-	ids   int
-	tasks []task // outcomes, timers, probe results to come
-	log   []string
-	// One attempt in faulty/5 fails, all take up to slowest ms, and requests come every so often.
-	faulty, slowest, every int
+// randomRun sends random valid events to one node and checks the rules that a node can keep by itself: exactly one
+// final answer, in time; no forbidden repeat or refusal; no late send to a draining server; placement; and the attempt
+// budget. It tracks the state itself and shares no code with the decisions.
+type randomRun struct {
+	t             *testing.T
+	rng           *rand.Rand
+	settings      Settings
+	balancer      *Balancer
+	now           Time
+	listed        map[string]Member
+	drainingSince map[string]Time // when a server was listed as draining, also after its removal
+	requests      map[string]*trackedRequest
+	requestCount  int
+	tasks         []scheduledTask // pending outcomes, timers and probe results
+	log           []string
+	// On average, five in failureDenominator attempts fail; the others take less than maxLatencyMs. Requests arrive on
+	// one step in arrivalInterval.
+	failureDenominator, maxLatencyMs, arrivalInterval int
 
-	took  []Time // all requests taken
-	extra []Time // all attempts beyond a request's first
+	requestTimes      []Time // arrivals of all requests
+	extraAttemptTimes []Time // times of all attempts beyond a request's first
 }
 
-type play struct {
+// trackedRequest is a request as the test tracks it.
+type trackedRequest struct {
 	Request
 	class    Class
 	deadline Time
-	tries    []try
+	attempts []trackedAttempt
 	ended    bool
 }
 
-type try struct {
+// trackedAttempt is an attempt as the test tracks it, with its server as listed at the time.
+type trackedAttempt struct {
 	server Member
 	sent   Time
-	over   bool
+	ended  bool
 	notRun bool
 }
 
-type task struct {
-	at Time
-	do func()
+// scheduledTask is a callback that runs at a simulated time.
+type scheduledTask struct {
+	dueAt Time
+	run   func()
 }
 
-func newWorld(t *testing.T, seed uint64) *world {
+func newRandomRun(t *testing.T, seed uint64) *randomRun {
 	rng := rand.New(rand.NewPCG(seed, 1))
 	set := testSettings([]int{1, 3, 12, 60}[seed%4])
 	set.Node = rng.IntN(set.Nodes)
@@ -64,7 +68,7 @@
 	if seed%2 == 1 {
 		set.Rules.AttemptBudget = &AttemptBudget{MinExtra: float64(rng.IntN(3)), ExtraShare: 0.05, Span: 5 * time.Second}
 	}
-	for i := range set.Classes { // windows shorter than the time a request is worth another attempt
+	for i := range set.Classes { // windows shorter than the time in which a request may still be repeated
 		set.Classes[i].Window = time.Duration(20+rng.IntN(150)) * ms
 	}
 	switch seed % 3 {
@@ -78,84 +82,87 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	w := &world{t: t, rng: rng, set: set, b: b, list: map[string]Member{}, told: map[string]Time{}, open: map[string]*play{},
-		faulty: []int{8, 20, 60}[seed/3%3], slowest: []int{300, 50}[seed/2%2], every: []int{1, 8}[seed/4%2]}
+	w := &randomRun{t: t, rng: rng, settings: set, balancer: b, listed: map[string]Member{}, drainingSince: map[string]Time{}, requests: map[string]*trackedRequest{},
+		failureDenominator: []int{8, 20, 60}[seed/3%3], maxLatencyMs: []int{300, 50}[seed/2%2], arrivalInterval: []int{1, 8}[seed/4%2]}
 	for _, m := range members(1 + rng.IntN(9)) {
 		if rng.IntN(4) == 0 {
 			m.OnlineSince = 1
 		}
-		w.list[m.Server] = m
+		w.listed[m.Server] = m
 	}
-	w.event(MemberList{Kind: ListRestored, Members: w.members()})
+	w.deliver(MemberList{Kind: ListRestored, Members: w.fullList()})
 	return w
 }
 
-func (w *world) members() []Member {
+func (w *randomRun) fullList() []Member {
 	var out []Member
 	for i := range 10 {
-		if m, ok := w.list[fmt.Sprintf("s%02d", i)]; ok {
+		if m, ok := w.listed[fmt.Sprintf("s%02d", i)]; ok {
 			out = append(out, m)
 		}
 	}
 	return out
 }
 
-func (w *world) later(d time.Duration, do func()) { w.tasks = append(w.tasks, task{w.now + d, do}) }
+func (w *randomRun) schedule(d time.Duration, do func()) {
+	w.tasks = append(w.tasks, scheduledTask{w.now + d, do})
+}
 
-func (w *world) event(ev Event) {
-	for _, a := range slices.Clone(w.b.Handle(w.now, ev)) {
+func (w *randomRun) deliver(ev Event) {
+	for _, a := range slices.Clone(w.balancer.Handle(w.now, ev)) {
 		w.log = append(w.log, fmt.Sprintf("%v %+v", w.now, a))
-		w.act(a)
+		w.perform(a)
 	}
 }
 
-func (w *world) act(a Action) {
-	p := w.open[a.ID]
+func (w *randomRun) perform(a Action) {
+	p := w.requests[a.ID]
 	switch a.Kind {
 	case Send:
-		w.send(p, a)
+		w.handleSend(p, a)
 	case Refuse, Fail:
-		w.answer(p, a)
+		w.handleAnswer(p, a)
 	case Cancel:
-		if !w.set.Allowed.Cancel || a.Attempt >= len(p.tries) {
-			w.t.Errorf("cancel of an unknown attempt, or where it is not allowed: %+v", a)
+		if !w.settings.Allowed.Cancel || a.Attempt >= len(p.attempts) {
+			w.t.Errorf("cancel of an unknown attempt, or cancelling is not allowed: %+v", a)
 		}
 	case SetTimer:
-		w.later(max(a.Wait, ms), func() { w.event(Timer{Token: a.Token}) })
+		w.schedule(max(a.Wait, ms), func() { w.deliver(Timer{Token: a.Token}) })
 	case Probe:
 		code, load := OK, float64(w.rng.IntN(6))
-		if !w.set.Allowed.Probe {
-			w.t.Errorf("probe where it is not allowed")
+		if !w.settings.Allowed.Probe {
+			w.t.Errorf("probe though probes are not allowed")
 		}
 		if w.rng.IntN(3) > 0 {
-			w.later(ms*time.Duration(w.rng.IntN(30)), func() {
-				w.event(ProbeResult{Server: a.Server, Code: code, Report: []float64{load}})
+			w.schedule(ms*time.Duration(w.rng.IntN(30)), func() {
+				w.deliver(ProbeResult{Server: a.Server, Code: code, Report: []float64{load}})
 			})
 		}
 	case WatchList:
 		if w.rng.IntN(2) == 0 {
-			w.later(ms, func() { w.event(MemberList{Kind: ListUnavailable}) })
+			w.schedule(ms, func() { w.deliver(MemberList{Kind: ListUnavailable}) })
 		}
 	}
 }
 
-func (w *world) send(p *play, a Action) {
-	m, listed := w.list[a.Server]
-	if told, ok := w.told[a.Server]; ok && w.now > told+w.set.Rules.DrainGrace {
-		w.t.Errorf("%s drains since %v, sent to at %v", a.Server, told, w.now)
+// handleSend checks an attempt against the rules and schedules its outcome.
+func (w *randomRun) handleSend(p *trackedRequest, a Action) {
+	m, listed := w.listed[a.Server]
+	if since, ok := w.drainingSince[a.Server]; ok && w.now > since+w.settings.Rules.DrainGrace {
+		w.t.Errorf("%s has been draining or removed since %v, but gets an attempt at %v", a.Server, since, w.now)
 	}
-	if !listed && w.told[a.Server] == 0 {
+	if !listed && w.drainingSince[a.Server] == 0 {
 		w.t.Errorf("unknown server %q", a.Server)
 	}
 	if p == nil || p.ended || w.now >= p.deadline {
-		w.t.Fatalf("send after the end: %+v", a)
+		w.t.Fatalf("attempt for a request that has ended or expired: %+v", a)
 	}
-	pending := 0
-	for _, x := range p.tries {
-		if !x.over {
-			pending++
+	open := 0
+	for _, earlier := range p.attempts {
+		if !earlier.ended {
+			open++
 		}
-		if x.notRun {
+		if earlier.notRun {
 			continue
 		}
 		switch p.class.Repeat {
@@ -163,176 +170,177 @@
 			w.t.Errorf("%s sent again though it may have run", p.class.Name)
 		case Guarded:
 			g := p.class.Group
-			if w.now > x.sent+p.class.Window || g == GroupZone && m.Zone != x.server.Zone ||
-				g == GroupCell && m.Cell != x.server.Cell {
+			if w.now > earlier.sent+p.class.Window || g == GroupZone && m.Zone != earlier.server.Zone ||
+				g == GroupCell && m.Cell != earlier.server.Cell {
 				w.t.Errorf("%s sent again outside its group or window", p.class.Name)
 			}
 		}
 	}
-	if pending > 0 && !w.set.Allowed.Hedge || len(p.tries) >= w.set.Allowed.MaxAttempts {
-		w.t.Errorf("a second copy or an attempt too many: %+v", a)
+	if open > 0 && !w.settings.Allowed.Hedge || len(p.attempts) >= w.settings.Allowed.MaxAttempts {
+		w.t.Errorf("a hedge that is not allowed, or too many attempts: %+v", a)
 	}
 	if c := p.class; len(c.Kinds) > 0 && !slices.Contains(c.Kinds, m.Kind) ||
 		len(c.Zones) > 0 && !slices.Contains(c.Zones, m.Zone) {
 		w.t.Errorf("%s sent to %s of kind %s in zone %s", c.Name, a.Server, m.Kind, m.Zone)
 	}
-	if len(p.tries) > 0 {
-		w.ration()
+	if len(p.attempts) > 0 {
+		w.checkAttemptBudget()
 	}
-	n := len(p.tries)
-	p.tries = append(p.tries, try{server: m, sent: w.now})
+	n := len(p.attempts)
+	p.attempts = append(p.attempts, trackedAttempt{server: m, sent: w.now})
 	until := p.deadline
 	if a.Until > 0 {
 		until = min(until, a.Until)
 	}
-	code, took := OK, time.Duration(w.rng.IntN(w.slowest))*ms
-	if w.rng.IntN(w.faulty) < 5 {
+	code, latency := OK, time.Duration(w.rng.IntN(w.maxLatencyMs))*ms
+	if w.rng.IntN(w.failureDenominator) < 5 {
 		code = []Code{ServerError, Full, ConnectFailed, Reset, TimedOut}[w.rng.IntN(5)]
 	}
-	if code == TimedOut || w.now+took > until {
-		code, took = TimedOut, until-w.now
+	if code == TimedOut || w.now+latency > until {
+		code, latency = TimedOut, until-w.now
 	}
-	w.later(took, func() {
-		p.tries[n].over, p.tries[n].notRun = true, code.NotRun()
+	w.schedule(latency, func() {
+		p.attempts[n].ended, p.attempts[n].notRun = true, code.NotRun()
 		if code == OK {
 			p.ended = true
 		}
-		ev := Outcome{ID: p.ID, Attempt: n, Server: a.Server, Code: code, Latency: took, Ended: p.ended}
-		w.event(ev)
+		ev := Outcome{ID: p.ID, Attempt: n, Server: a.Server, Code: code, Latency: latency, Ended: p.ended}
+		w.deliver(ev)
 		if w.rng.IntN(20) == 0 {
-			w.event(ev) // twice
+			w.deliver(ev) // a duplicate
 		}
 	})
 }
 
-// ration checks the budget of attempts by its own count.
-func (w *world) ration() {
-	w.extra = append(w.extra, w.now)
-	q := w.set.Rules.AttemptBudget
+// checkAttemptBudget records an extra attempt and checks the attempt budget by its own count.
+func (w *randomRun) checkAttemptBudget() {
+	w.extraAttemptTimes = append(w.extraAttemptTimes, w.now)
+	q := w.settings.Rules.AttemptBudget
 	if q == nil {
 		return
 	}
-	within := func(all []Time) (n int) {
-		for _, at := range all {
+	within := func(times []Time) (n int) {
+		for _, at := range times {
 			if at > w.now-q.Span {
 				n++
 			}
 		}
 		return n
 	}
-	if n, most := within(w.extra), q.MinExtra+q.ExtraShare*float64(within(w.took)); float64(n) > most {
-		w.t.Errorf("%d attempts beyond the first in %v, at most %v allowed", n, q.Span, most)
+	if n, maxExtra := within(w.extraAttemptTimes), q.MinExtra+q.ExtraShare*float64(within(w.requestTimes)); float64(n) > maxExtra {
+		w.t.Errorf("%d attempts beyond the first in %v, want at most %v", n, q.Span, maxExtra)
 	}
 }
 
-func (w *world) answer(p *play, a Action) {
+// handleAnswer checks a final answer: there is only one, and a refusal only if a retry is safe.
+func (w *randomRun) handleAnswer(p *trackedRequest, a Action) {
 	if p == nil || p.ended {
-		w.t.Fatalf("answered twice: %+v", a)
+		w.t.Fatalf("a second answer, or one to an unknown request: %+v", a)
 	}
 	p.ended = true
-	for _, x := range p.tries {
+	for _, earlier := range p.attempts {
 		safe := p.class.Repeat == Free || p.class.Repeat == Guarded && p.class.Group == GroupAll
-		if a.Kind == Refuse && !x.notRun && !safe {
+		if a.Kind == Refuse && !earlier.notRun && !safe {
 			w.t.Errorf("%s refused though it may have run", p.class.Name)
 		}
 	}
 }
 
-func (w *world) step() {
+func (w *randomRun) step() {
 	w.now += time.Duration(1+w.rng.IntN(4)) * ms
-	stall := w.rng.IntN(400) == 0 // the node gets no turn, and then all that came meanwhile at once
+	stall := w.rng.IntN(400) == 0 // the node is stalled, then handles everything that came meanwhile at once
 	if stall {
 		w.now += time.Duration(w.rng.IntN(900)) * ms
 	}
 	due := w.tasks
 	w.tasks = nil
-	slices.SortStableFunc(due, func(x, y task) int { return int(x.at - y.at) })
-	for _, k := range due {
-		if k.at > w.now {
-			w.tasks = append(w.tasks, k)
+	slices.SortStableFunc(due, func(x, y scheduledTask) int { return int(x.dueAt - y.dueAt) })
+	for _, next := range due {
+		if next.dueAt > w.now {
+			w.tasks = append(w.tasks, next)
 			continue
 		}
-		k.do()
+		next.run()
 	}
-	for id, p := range w.open { // order is irrelevant: only checked and dropped
+	for id, p := range w.requests { // the map order is irrelevant: requests are only checked and deleted
 		if !p.ended && w.now > p.deadline+5*ms && !stall {
-			w.t.Fatalf("%s (%s) has no answer in time", id, p.class.Name)
+			w.t.Fatalf("%s (class %s) got no answer in time", id, p.class.Name)
 		}
 		if p.ended && w.now > p.deadline+time.Second {
-			delete(w.open, id)
+			delete(w.requests, id)
 		}
 	}
 	switch w.rng.IntN(60) {
 	case 0:
-		w.change()
+		w.changeServer()
 	case 1:
-		w.event(Timer{Token: w.rng.Uint64()})
-		w.event(ClientGone{ID: "nobody"})
-		w.event(Outcome{ID: "nobody", Server: "nowhere"})
-		w.event(ProbeResult{Server: "nowhere"})
-		w.event(PeerMessage{From: 99, Body: "\x00"})
+		w.deliver(Timer{Token: w.rng.Uint64()})
+		w.deliver(ClientGone{ID: "nobody"})
+		w.deliver(Outcome{ID: "nobody", Server: "nowhere"})
+		w.deliver(ProbeResult{Server: "nowhere"})
+		w.deliver(PeerMessage{From: 99, Body: "\x00"})
 	}
-	if w.rng.IntN(w.every) == 0 {
+	if w.rng.IntN(w.arrivalInterval) == 0 {
 		for range w.rng.IntN(3) {
-			w.arrive()
+			w.sendRequest()
 		}
 	}
 }
 
-func (w *world) arrive() {
-	w.ids++
+func (w *randomRun) sendRequest() {
+	w.requestCount++
 	c := Class{Name: "stranger"}
 	if w.rng.IntN(10) > 0 {
-		c = w.set.Classes[w.rng.IntN(len(w.set.Classes))]
+		c = w.settings.Classes[w.rng.IntN(len(w.settings.Classes))]
 	}
-	r := Request{ID: fmt.Sprint("r", w.ids), Class: c.Name, Tenant: []string{"t", "t", "u", "?", ""}[w.rng.IntN(5)],
+	r := Request{ID: fmt.Sprint("r", w.requestCount), Class: c.Name, Tenant: []string{"t", "t", "u", "?", ""}[w.rng.IntN(5)],
 		ExpiresIn: time.Duration(1+w.rng.IntN(600)) * ms, Key: fmt.Sprint(w.rng.IntN(30))}
-	p := &play{Request: r, class: c, deadline: w.now + r.ExpiresIn}
-	w.open[r.ID] = p
-	w.took = append(w.took, w.now)
-	w.event(r)
+	p := &trackedRequest{Request: r, class: c, deadline: w.now + r.ExpiresIn}
+	w.requests[r.ID] = p
+	w.requestTimes = append(w.requestTimes, w.now)
+	w.deliver(r)
 	if !p.ended && w.rng.IntN(40) == 0 {
-		w.later(ms, func() {
+		w.schedule(ms, func() {
 			if !p.ended {
 				p.ended = true
-				w.event(ClientGone{ID: r.ID})
+				w.deliver(ClientGone{ID: r.ID})
 			}
 		})
 	}
 }
 
-// change drains, removes, restarts or adds a server, or sends the whole list.
-func (w *world) change() {
+// changeServer drains, removes, restarts or adds a server, and sends the change as an update or as a full list.
+func (w *randomRun) changeServer() {
 	id := fmt.Sprintf("s%02d", w.rng.IntN(10))
-	m, listed := w.list[id]
+	m, listed := w.listed[id]
 	switch {
 	case !listed:
 		m = members(10)[w.rng.IntN(10)]
 		m.OnlineSince = w.now
-		w.list[m.Server] = m
-		delete(w.told, m.Server)
+		w.listed[m.Server] = m
+		delete(w.drainingSince, m.Server)
 	case w.rng.IntN(3) == 0:
 		m.OnlineSince, m.Availability = w.now, Running
-		w.list[id] = m
-		delete(w.told, id)
+		w.listed[id] = m
+		delete(w.drainingSince, id)
 	case m.Availability == Running:
 		m.Availability = Draining
-		w.list[id] = m
-		w.told[id] = w.now
+		w.listed[id] = m
+		w.drainingSince[id] = w.now
 	default:
 		m.Availability = Removed
-		delete(w.list, id)
+		delete(w.listed, id)
 	}
 	if w.rng.IntN(2) == 0 {
-		w.event(MemberList{Kind: ListUpdate, Members: []Member{m}})
+		w.deliver(MemberList{Kind: ListUpdate, Members: []Member{m}})
 		return
 	}
-	w.event(MemberList{Kind: ListReplace, Members: w.members()})
+	w.deliver(MemberList{Kind: ListReplace, Members: w.fullList()})
 }
 
-func TestRandomStreamsKeepTheRules(t *testing.T) {
+func TestRandomEventsKeepTheRules(t *testing.T) {
 	for seed := range uint64(40) {
-		w := newWorld(t, seed)
+		w := newRandomRun(t, seed)
 		for range 1500 {
 			w.step()
 		}
@@ -344,24 +352,24 @@
 
 func TestSameEventsSameActions(t *testing.T) {
 	run := func() []string {
-		w := newWorld(t, 12)
+		w := newRandomRun(t, 12)
 		for range 800 {
 			w.step()
 		}
 		return w.log
 	}
 	if a, b := run(), run(); !reflect.DeepEqual(a, b) {
-		t.Error("the same events led to other actions")
+		t.Error("two runs with the same events led to different actions")
 	}
 }
 
-// What is kept for a request goes once it is over.
-func TestNothingIsKeptForEver(t *testing.T) {
-	w := newWorld(t, 4)
+// The state of a request must be deleted once the request has ended.
+func TestEndedRequestsAreDeleted(t *testing.T) {
+	w := newRandomRun(t, 4)
 	for range 3000 {
 		w.step()
 	}
-	if n := len(w.b.requests); n > 600 {
-		t.Errorf("%d requests kept", n)
+	if n := len(w.balancer.requests); n > 600 {
+		t.Errorf("%d requests still stored, want at most 600", n)
 	}
 }
--- a/policy/rules_test.go
+++ b/policy/rules_test.go
@@ -198,7 +198,7 @@
 
 func TestPacksOwnZoneInIDOrderThenSpills(t *testing.T) {
 	b := newTestBalancer(t, testSettings(1), members(4))
-	for _, s := range b.order() {
+	for _, s := range b.packingOrder() {
 		s.threshold = 1
 	}
 	var got []string
@@ -361,7 +361,7 @@
 // A request that is queued for long lowers the pace once, not at each check of the queue.
 func TestQueuedRequestLowersThePaceOnce(t *testing.T) {
 	b := newTestBalancer(t, testSettings(1), members(1))
-	s := b.order()[0]
+	s := b.packingOrder()[0]
 	s.threshold, s.thresholdCut, s.inflight = 1, true, 3
 	b.updateStatus(s)
 	b.Handle(ms, newRequest("x", "free"))
@@ -382,7 +382,7 @@
 		set := testSettings(6)
 		set.Node, set.WarmKeys = n, true
 		b := newTestBalancer(t, set, members(24))
-		walkStarts[b.order()[0].Server] = true
+		walkStarts[b.packingOrder()[0].Server] = true
 		preferred[b.hashCandidates(&request{class: b.classList[0], keyHash: hash("acct/1")})[0].Server] = true
 	}
 	if len(walkStarts) < 5 {
@@ -436,8 +436,8 @@
 func TestManyNodesFillTheirFirstFewServers(t *testing.T) {
 	b := oneOf80Nodes(t, members(60))
 	for i := range 6 {
-		if got := sentTo(t, b.Handle(ms, newRequest(fmt.Sprint(i), "free"))); got != b.order()[i].Server {
-			t.Errorf("request %d: sent to %s, want %s", i, got, b.order()[i].Server)
+		if got := sentTo(t, b.Handle(ms, newRequest(fmt.Sprint(i), "free"))); got != b.packingOrder()[i].Server {
+			t.Errorf("request %d: sent to %s, want %s", i, got, b.packingOrder()[i].Server)
 		}
 	}
 }
@@ -454,7 +454,7 @@
 		want int
 	}{"all": {members(60), 9}, "a third": {members(20), 3}, "half cold": {halfCold, 5}} { // 2 * 6 * 60 / 80 for 60 warm servers
 		b, warmSends := oneOf80Nodes(t, tc.list), 0
-		for _, s := range b.order() {
+		for _, s := range b.packingOrder() {
 			if s.OnlineSince > 0 {
 				s.cold.tokens = 1
 			}
@@ -479,7 +479,7 @@
 		b, sends := oneOf80Nodes(t, members(60)), 0
 		b.settings.Report = []string{"latency_ms", "util"}
 		for range 200 {
-			b.recordLoadReport(b.order()[0], []float64{100, util})
+			b.recordLoadReport(b.packingOrder()[0], []float64{100, util})
 		}
 		for i := range 60 {
 			sends += len(actionsOfKind(b.Handle(ms, newRequest(fmt.Sprint(i), "free")), Send))
@@ -547,13 +547,13 @@
 	list := members(60)
 	b := oneOf80Nodes(t, list)
 	b.settings.Report = []string{"util", "qps"}
-	coldMember := b.order()[59].Member
+	coldMember := b.packingOrder()[59].Member
 	coldMember.OnlineSince = time.Second
 	b.Handle(time.Second, MemberList{Kind: ListUpdate, Members: []Member{coldMember}})
 	cold := b.servers[coldMember.Server]
-	warm := b.order()[0]
+	warm := b.packingOrder()[0]
 	for warm.Kind != cold.Kind {
-		warm = b.order()[slices.Index(b.order(), warm)+1]
+		warm = b.packingOrder()[slices.Index(b.packingOrder(), warm)+1]
 	}
 	b.recordLoadReport(warm, []float64{0.9, 400})
 	b.recordLoadReport(cold, []float64{0.1, 1}) // too little used to show its capacity
@@ -577,7 +577,7 @@
 	b := oneOf80Nodes(t, list)
 	b.now = 2 * time.Second
 	b.settings.Report = []string{"util", "qps"}
-	s := b.order()[0]
+	s := b.packingOrder()[0]
 	b.warmRates[s.Kind] = 400
 	tokens := func() float64 {
 		s.cold = coldBudget{lastRefill: b.now - 500*ms}
@@ -601,7 +601,7 @@
 	set := testSettings(12)
 	set.WarmKeys = true
 	b := newTestBalancer(t, set, members(12))
-	servers := b.order()
+	servers := b.packingOrder()
 	record := func(code Code, n int) {
 		for range n {
 			b.updateThreshold(servers[0], b.classList[0], code, ms)
@@ -628,7 +628,7 @@
 // hung server are none for it.
 func TestFullAnswersWhereServersShedEarly(t *testing.T) {
 	b := newTestBalancer(t, testSettings(1), members(2))
-	s := b.order()[0]
+	s := b.packingOrder()[0]
 	for range 40 {
 		b.updateThreshold(s, b.classList[0], Full, ms)
 		b.updateBreaker(&attempt{server: s}, OK)
@@ -636,7 +636,7 @@
 	if !b.serversShedEarly() {
 		t.Fatal("after 40 full answers and no timeout the servers don't count as shedding early")
 	}
-	for _, s := range b.order() {
+	for _, s := range b.packingOrder() {
 		s.inflight = 20
 		b.updateStatus(s)
 	}
@@ -661,7 +661,7 @@
 	if b.serversShedEarly() {
 		t.Error("the servers still count as shedding early after many timeouts")
 	}
-	for _, s := range b.order() {
+	for _, s := range b.packingOrder() {
 		b.updateStatus(s)
 	}
 	if acts := b.Handle(2*ms, newRequest("y", "free")); len(actionsOfKind(acts, Send)) != 0 {
@@ -684,7 +684,7 @@
 		t.Errorf("with good answers the pace is %v, want %v", b.pace, maxPace)
 	}
 	for range 20 {
-		b.updateThreshold(b.order()[0], b.classList[0], TimedOut, ms)
+		b.updateThreshold(b.packingOrder()[0], b.classList[0], TimedOut, ms)
 	}
 	raisePace()
 	if b.pace > cautiousPace*(1+paceIncrease) {
@@ -702,12 +702,12 @@
 		if late {
 			latency = b.classList[0].Aim + ms
 		}
-		before := b.order()[0].threshold
+		before := b.packingOrder()[0].threshold
 		for range 20 {
-			b.updateThreshold(b.order()[0], b.classList[0], OK, latency)
+			b.updateThreshold(b.packingOrder()[0], b.classList[0], OK, latency)
 		}
-		if b.order()[0].threshold >= before {
-			t.Errorf("late %v: the threshold is %v, was %v", late, b.order()[0].threshold, before)
+		if b.packingOrder()[0].threshold >= before {
+			t.Errorf("late %v: the threshold is %v, was %v", late, b.packingOrder()[0].threshold, before)
 		}
 		for range 200 {
 			b.bucketRefused = true
@@ -724,7 +724,7 @@
 // connections alike, change nothing.
 func TestSilentlyDroppedConnectionsAreReopened(t *testing.T) {
 	b := newTestBalancer(t, testSettings(1), members(2))
-	s, now := b.order()[0], Time(0)
+	s, now := b.packingOrder()[0], Time(0)
 	sendAfter := func(idle time.Duration, code Code) (closed int) {
 		now += idle
 		id := fmt.Sprint("r", now)
@@ -796,7 +796,7 @@
 // Full answers of overloaded servers don't show that they shed early, since their other answers time out.
 func TestOverloadedServersDontShedEarly(t *testing.T) {
 	b := newTestBalancer(t, testSettings(1), members(2))
-	s := b.order()[0]
+	s := b.packingOrder()[0]
 	for range 30 {
 		for range 9 {
 			b.updateThreshold(s, b.classList[0], Full, ms)
@@ -834,7 +834,7 @@
 		set.Rules.OverloadMultiple, set.Rules.ColdShare, set.Rules.ColdFor = multiple, 0.5, time.Hour
 		b := newTestBalancer(t, set, members(1))
 		b.decayedAnswerRate, b.answerRateAt, b.now = 100, time.Second, time.Second // 100 answers a second from one server
-		s := b.order()[0]
+		s := b.packingOrder()[0]
 		s.OnlineSince = b.now
 		s.cold = coldBudget{lastRefill: b.now - 10*ms}
 		b.coldBudgetAllows(s)
@@ -849,7 +849,7 @@
 func TestInitialThresholdIsSharedByFewNodes(t *testing.T) {
 	for nodes := 1; nodes <= maxUnstaggeredNodes; nodes++ {
 		b := newTestBalancer(t, testSettings(nodes), members(4))
-		if total := b.order()[0].threshold * float64(nodes); math.Abs(total-initialTotal) > 1e-9 {
+		if total := b.packingOrder()[0].threshold * float64(nodes); math.Abs(total-initialTotal) > 1e-9 {
 			t.Errorf("%d nodes: %v attempts in total, want %v", nodes, total, initialTotal)
 		}
 	}
@@ -969,9 +969,9 @@
 func TestFullAnswersOfHungServersDontCount(t *testing.T) {
 	for score, want := range map[float64]bool{0: true, 0.4: false} {
 		b := newTestBalancer(t, testSettings(1), members(2))
-		b.order()[0].health.score = score
+		b.packingOrder()[0].health.score = score
 		for range 40 {
-			b.updateThreshold(b.order()[0], b.classList[0], Full, ms)
+			b.updateThreshold(b.packingOrder()[0], b.classList[0], Full, ms)
 		}
 		if b.serversShedEarly() != want {
 			t.Errorf("with a score of %v: shed early %v, want %v", score, !want, want)
@@ -1029,22 +1029,22 @@
 		if k := i / 6 % 20; k == 7 || k == 8 {
 			code = Reset
 		}
-		send(b, now, b.order()[i%6], code)
+		send(b, now, b.packingOrder()[i%6], code)
 		if n := b.fleet.ejectedCount; n > 0 {
 			t.Fatalf("%d ejected after %d outcomes", n, i)
 		}
 	}
-	for _, s := range b.order() {
+	for _, s := range b.packingOrder() {
 		if s.threshold < initial/2 {
 			t.Errorf("%s: threshold %v, was %v", s.Server, s.threshold, initial)
 		}
 	}
-	b.eject(b.order()[0], false) // by hand, for the trial below
+	b.eject(b.packingOrder()[0], false) // by hand, for the trial below
 	now += 5 * time.Second
 	b.requests["trial"] = &request{id: "trial", class: b.classes["free"], deadline: now + time.Second}
-	b.send(b.requests["trial"], b.order()[0], true)
+	b.send(b.requests["trial"], b.packingOrder()[0], true)
 	b.Handle(now, newOutcome("trial", 0, "s00", ConnectFailed, 0))
-	if h := b.order()[0].health; !h.ejected || h.ejectedUntil != now+baseEjectionTime {
+	if h := b.packingOrder()[0].health; !h.ejected || h.ejectedUntil != now+baseEjectionTime {
 		t.Errorf("a trial that failed by a common fault delays the next by %v", h.ejectedUntil-now)
 	}
 	if b.badFraction > maxBadFraction {
@@ -1061,16 +1061,16 @@
 
 	b = newTestBalancer(t, testSettings(1), members(6))
 	for range 5 {
-		for _, s := range b.order() {
+		for _, s := range b.packingOrder() {
 			now += 25 * ms
 			send(b, now, s, OK)
 		}
 	}
 	for range 2 {
 		now += 25 * ms
-		send(b, now, b.order()[1], Reset)
+		send(b, now, b.packingOrder()[1], Reset)
 	}
-	if !b.order()[1].health.ejected {
+	if !b.packingOrder()[1].health.ejected {
 		t.Error("not ejected after two faults in a row and none at other servers")
 	}
 }
@@ -1122,7 +1122,7 @@
 		{"the deadline", func(b *Balancer, s *server) { b.now = 10*ms + 600*ms }, 2},
 	} {
 		b := newTestBalancer(t, testSettings(1), members(1))
-		s := b.order()[0]
+		s := b.packingOrder()[0]
 		s.threshold = 3
 		for _, sent := range []struct {
 			id string
@@ -1151,7 +1151,7 @@
 // until it answers, however much room its threshold leaves.
 func TestHungServersGetNothingNew(t *testing.T) {
 	b := newTestBalancer(t, testSettings(1), members(2))
-	s := b.order()[0]
+	s := b.packingOrder()[0]
 	s.meanLatency, s.threshold = 0.1, 8
 	var ids []string
 	send := func(now Time) string {
@@ -1191,7 +1191,7 @@
 		grows   bool
 	}{{25 * ms, true}, {80 * ms, true}, {125 * ms, false}, {240 * ms, false}} { // of an aim of 250 ms
 		b := newTestBalancer(t, testSettings(1), members(1))
-		s := b.order()[0]
+		s := b.packingOrder()[0]
 		before := s.threshold
 		s.inflight = int(before) // full, so that the threshold limits sends
 		b.updateThreshold(s, b.classes["free"], OK, tc.latency)
@@ -1205,7 +1205,7 @@
 // it has several cores, and with less room it would be idle while buckets refuse requests for lack of room.
 func TestSlowServersKeepRoomForAFewAttempts(t *testing.T) {
 	b := newTestBalancer(t, testSettings(2), members(1))
-	s := b.order()[0]
+	s := b.packingOrder()[0]
 	for range 200 {
 		b.updateThreshold(s, b.classes["free"], OK, 240*ms)
 	}
@@ -1269,9 +1269,9 @@
 		set := testSettings(1)
 		set.Allowed.ConnIdle = 500 * ms // so that no trial uses a connection that may be closed
 		b := newTestBalancer(t, set, members(6))
-		s, now := b.order()[0], time.Minute
+		s, now := b.packingOrder()[0], time.Minute
 		b.now = now
-		for _, other := range b.order() { // all have answered, and no other server has faults
+		for _, other := range b.packingOrder() { // all have answered, and no other server has faults
 			other.lastAnswer = now
 			b.rankFaults(other)
 		}
@@ -1334,7 +1334,7 @@
 		// maxInFlight returns how many requests can be in flight at once.
 		maxInFlight := func() int {
 			now += time.Minute // abandoned attempts don't count any more
-			for _, s := range b.order() {
+			for _, s := range b.packingOrder() {
 				b.setEjected(s, false)
 				s.health, s.threshold, s.lastSend = health{}, b.initialThreshold(s), 0
 			}
@@ -1375,7 +1375,7 @@
 	set.Node = 7
 	b := newTestBalancer(t, set, members(servers))
 	now, n, isSilent := time.Minute, 0, map[string]bool{}
-	for _, s := range b.order()[:silentCount] {
+	for _, s := range b.packingOrder()[:silentCount] {
 		isSilent[s.Server] = true
 	}
 	// sendRequests sends requests one after the other and returns how many first attempts went to silent servers.
--- a/policy/scale_test.go
+++ b/policy/scale_test.go
@@ -7,17 +7,17 @@
 	"time"
 )
 
-// size is how much a node has to know of.
-type size struct{ services, servers, tenants, nodes int }
+// fleetSize is the size of the deployment that a node knows of.
+type fleetSize struct{ services, servers, tenants, nodes int }
 
-var small, large = size{10, 1024, 1000, 350}, size{1300, 39_000, 130_000, 2500}
+var smallFleet, largeFleet = fleetSize{10, 1024, 1000, 350}, fleetSize{1300, 39_000, 130_000, 2500}
 
-func (z size) String() string {
+func (z fleetSize) String() string {
 	return fmt.Sprintf("%d-services-%d-servers-%d-nodes", z.services, z.servers, z.nodes)
 }
 
-// list binds every service to a kind of its own, over 18 zones.
-func (z size) list() []Member {
+// members returns the list of servers: one kind for each service, over 18 zones.
+func (z fleetSize) members() []Member {
 	var out []Member
 	for i := range z.servers {
 		out = append(out, Member{Server: fmt.Sprintf("transcriber-%05d", i), Zone: fmt.Sprint("z", i/7%18),
@@ -26,7 +26,7 @@
 	return out
 }
 
-func (z size) settings() Settings {
+func (z fleetSize) settings() Settings {
 	set := Settings{Node: z.nodes / 3, Nodes: z.nodes, Zone: "z4", Report: []string{"util", "qps"},
 		Allowed: Allowed{Cancel: true, Hedge: true, MaxAttempts: 3},
 		Rules:   Rules{DrainGrace: time.Second, ColdShare: 0.2, ColdFor: 10 * time.Second, OverloadMultiple: 3, OverloadFor: 2 * time.Second}}
@@ -40,131 +40,131 @@
 	return set
 }
 
-// bigNode is a node of a size, with its whole list, that is sent one thing after the other.
-type bigNode struct {
-	size
-	b    *Balancer
-	list []Member
-	now  Time
-	n    int
+// scaleRun is a node in a fleet of a given size, with the full list, that handles one event after another.
+type scaleRun struct {
+	fleetSize
+	balancer   *Balancer
+	list       []Member
+	now        Time
+	eventCount int
 }
 
-func newBigNode(t testing.TB, z size) *bigNode {
+func newScaleRun(t testing.TB, z fleetSize) *scaleRun {
 	b, err := New(z.settings(), 0, 1)
 	if err != nil {
 		t.Fatal(err)
 	}
-	f := &bigNode{size: z, b: b, list: z.list()}
-	b.Handle(0, MemberList{Kind: ListReplace, Members: z.list()}) // each list comes in strings of its own
-	return f
+	r := &scaleRun{fleetSize: z, balancer: b, list: z.members()}
+	b.Handle(0, MemberList{Kind: ListReplace, Members: z.members()}) // a separate list, since the node gets new strings with each one
+	return r
 }
 
-// entry changes one entry of the list: servers in turn drain, come back and start anew.
-func (f *bigNode) entry() {
-	f.n++
-	f.now += ms
-	m := &f.list[f.n/3*7919%len(f.list)]
-	switch f.n % 3 {
+// changeEntry sends a list update with one changed entry: servers drain, come back and restart in turn.
+func (r *scaleRun) changeEntry() {
+	r.eventCount++
+	r.now += ms
+	m := &r.list[r.eventCount/3*7919%len(r.list)]
+	switch r.eventCount % 3 {
 	case 0:
 		m.Availability = Draining
 	case 1:
 		m.Availability = Running
 	case 2:
-		m.OnlineSince = f.now
+		m.OnlineSince = r.now
 	}
-	f.b.Handle(f.now, MemberList{Kind: ListUpdate, Members: []Member{*m}})
+	r.balancer.Handle(r.now, MemberList{Kind: ListUpdate, Members: []Member{*m}})
 }
 
-// whole sends the whole list with one change in it, in turn with and without its last server.
-func (f *bigNode) whole() {
-	f.n++
-	f.now += ms
-	m := &f.list[f.n*7919%len(f.list)]
+// replaceList sends the full list with one changed entry, alternately with and without its last server.
+func (r *scaleRun) replaceList() {
+	r.eventCount++
+	r.now += ms
+	m := &r.list[r.eventCount*7919%len(r.list)]
 	m.Availability = Draining - m.Availability
-	f.b.Handle(f.now, MemberList{Kind: ListReplace, Members: f.list[:len(f.list)-f.n%2]})
+	r.balancer.Handle(r.now, MemberList{Kind: ListReplace, Members: r.list[:len(r.list)-r.eventCount%2]})
 }
 
-// request sends one request and its outcome.
-func (f *bigNode) request(code Code) {
-	f.n++
-	f.now += 50 * ms
+// sendRequest sends one request and its outcome.
+func (r *scaleRun) sendRequest(code Code) {
+	r.eventCount++
+	r.now += 50 * ms
 	id := "r"
-	acts := f.b.Handle(f.now, Request{ID: id, Class: fmt.Sprint("c", f.n%f.services), ExpiresIn: 600 * ms,
-		Tenant: fmt.Sprint("t", f.n*31%f.tenants)})
+	acts := r.balancer.Handle(r.now, Request{ID: id, Class: fmt.Sprint("c", r.eventCount%r.services), ExpiresIn: 600 * ms,
+		Tenant: fmt.Sprint("t", r.eventCount*31%r.tenants)})
 	for _, a := range acts {
 		if a.Kind == Send {
-			f.b.Handle(f.now+5*ms, Outcome{ID: id, Server: a.Server, Code: code, Latency: 5 * ms, Ended: true})
+			r.balancer.Handle(r.now+5*ms, Outcome{ID: id, Server: a.Server, Code: code, Latency: 5 * ms, Ended: true})
 		}
 	}
-	f.b.Handle(f.now+5*ms, ClientGone{ID: id})
+	r.balancer.Handle(r.now+5*ms, ClientGone{ID: id})
 }
 
-// ejection has a server fail until it is ejected, and takes it back.
-func (f *bigNode) ejection() {
-	f.n++
-	s := f.b.servers[f.list[f.n*7919%len(f.list)].Server]
+// ejectServer lets a server fail until it is ejected, and then undoes the ejection.
+func (r *scaleRun) ejectServer() {
+	r.eventCount++
+	s := r.balancer.servers[r.list[r.eventCount*7919%len(r.list)].Server]
 	for range 5 {
-		f.b.recordFailure(s, failWeight, ServerError)
+		r.balancer.recordFailure(s, failWeight, ServerError)
 	}
 	if !s.health.ejected {
-		panic("not ejected")
+		panic("the server was not ejected")
 	}
-	f.b.setEjected(s, false)
+	r.balancer.setEjected(s, false)
 	s.health = health{}
 }
 
-// events are what a node is sent, and how many times as much each may cost at the large size.
-var events = []struct {
-	name string
-	most float64
-	do   func(*bigNode)
+// scaleEvents are the measured events, with the most that the cost of each may grow from the small to the large fleet.
+var scaleEvents = []struct {
+	name     string
+	maxRatio float64
+	run      func(*scaleRun)
 }{
-	{"entry", 3, (*bigNode).entry},
-	{"list", 100, (*bigNode).whole},
-	{"ejection", 3, (*bigNode).ejection},
-	{"request-ok", 3, func(f *bigNode) { f.request(OK) }},
-	{"request-failed", 3, func(f *bigNode) { f.request(ServerError) }},
+	{"entry", 3, (*scaleRun).changeEntry},
+	{"list", 100, (*scaleRun).replaceList},
+	{"ejection", 3, (*scaleRun).ejectServer},
+	{"request-ok", 3, func(r *scaleRun) { r.sendRequest(OK) }},
+	{"request-failed", 3, func(r *scaleRun) { r.sendRequest(ServerError) }},
 }
 
-// What an event costs grows with what it changes and with the servers of its service, not with what the
-// node knows of. Entries looked at are counted, and bytes allocated, for times are not the same twice.
-func TestCostsHardlyGrowWithTheFleet(t *testing.T) {
-	for _, e := range events {
+// The cost of an event grows with what it changes and with the servers of its service, not with the size of the fleet.
+// The cost is the number of entries visited and of bytes allocated, since run times aren't reproducible.
+func TestEventCostHardlyGrowsWithTheFleet(t *testing.T) {
+	for _, e := range scaleEvents {
 		var mean, bytes [2]float64
 		var worst [2]int
-		for i, z := range []size{small, large} {
-			f := newBigNode(t, z)
+		for i, z := range []fleetSize{smallFleet, largeFleet} {
+			r := newScaleRun(t, z)
 			runs := 3000
-			if e.most > 3 {
+			if e.maxRatio > 3 {
 				runs = 20
 			}
-			var was, is runtime.MemStats
-			runtime.ReadMemStats(&was)
-			before := *f.b.visits
+			var statsBefore, statsAfter runtime.MemStats
+			runtime.ReadMemStats(&statsBefore)
+			visitsBefore := *r.balancer.visits
 			for range runs {
-				one := *f.b.visits
-				e.do(f)
-				worst[i] = max(worst[i], *f.b.visits-one)
+				eventStart := *r.balancer.visits
+				e.run(r)
+				worst[i] = max(worst[i], *r.balancer.visits-eventStart)
 			}
-			mean[i] = float64(*f.b.visits-before) / float64(runs)
-			runtime.ReadMemStats(&is)
-			bytes[i] = float64(is.TotalAlloc-was.TotalAlloc) / float64(runs)
+			mean[i] = float64(*r.balancer.visits-visitsBefore) / float64(runs)
+			runtime.ReadMemStats(&statsAfter)
+			bytes[i] = float64(statsAfter.TotalAlloc-statsBefore.TotalAlloc) / float64(runs)
 		}
-		t.Logf("%s: %.0f entries looked at, at most %v, and %.0f bytes allocated", e.name, mean, worst, bytes)
-		if mean[0] == 0 || mean[1] > e.most*mean[0] || float64(worst[1]) > e.most*float64(worst[0]) ||
-			bytes[1] > e.most*max(1024, bytes[0]) { // tables grow now and then
-			t.Errorf("%s: grows more than %v times", e.name, e.most)
+		t.Logf("%s: %.0f entries visited, at most %v, and %.0f bytes allocated", e.name, mean, worst, bytes)
+		if mean[0] == 0 || mean[1] > e.maxRatio*mean[0] || float64(worst[1]) > e.maxRatio*float64(worst[0]) ||
+			bytes[1] > e.maxRatio*max(1024, bytes[0]) { // maps and slices are reallocated now and then
+			t.Errorf("%s: the cost grows to more than %v times", e.name, e.maxRatio)
 		}
 	}
 }
 
 func BenchmarkNode(b *testing.B) {
-	for _, e := range events {
-		for _, z := range []size{small, large} {
+	for _, e := range scaleEvents {
+		for _, z := range []fleetSize{smallFleet, largeFleet} {
 			b.Run(e.name+"/"+z.String(), func(b *testing.B) {
-				f := newBigNode(b, z)
+				r := newScaleRun(b, z)
 				for b.Loop() {
-					e.do(f)
+					e.run(r)
 				}
 			})
 		}
