--- a/cmd/scalerun/main.go
+++ b/cmd/scalerun/main.go
@@ -1,5 +1,5 @@
-// Command scalerun runs plans that measure nodes at fleet sizes that one machine can run only in part, and prints the
-// results.
+// Command scalerun measures nodes in fleets that are too large to run completely on one machine, as described by a plan,
+// and prints the results.
 package main
 
 import (
@@ -100,7 +100,7 @@
 func run(args []string, stdout, stderr io.Writer) (code int) {
 	exitCode := -1
 	parser, err := kong.New(&commands{}, kong.Name("scalerun"), kong.Writers(stdout, stderr),
-		kong.Description("Measure nodes at fleet sizes that one machine can run only in part."),
+		kong.Description("Measure nodes in fleets that are too large to run completely on one machine."),
 		kong.BindTo(stdout, (*io.Writer)(nil)), kong.Exit(func(code int) { exitCode = code; panic(exitPanic{}) }))
 	if err != nil {
 		fmt.Fprintln(stderr, "scalerun:", err)
--- a/cmd/simhost/main.go
+++ b/cmd/simhost/main.go
@@ -112,7 +112,7 @@
 	case wire.Shutdown:
 		delete(h.instances, line.Node)
 	case wire.Event:
-		// No events are expected for a node after its shutdown; any that arrive are dropped.
+		// An event for a node that has no instance, such as after its shutdown, is dropped.
 		if balancer := h.instances[line.Node]; balancer != nil {
 			h.deliver(line.Node, balancer, line.Event)
 		}
--- a/cmd/soak/main.go
+++ b/cmd/soak/main.go
@@ -29,16 +29,16 @@
 const (
 	maxSeeds           = 1000
 	maxParallel        = 8
-	maxPrintedFindings = 20 // limit of the printed findings of a run
+	maxPrintedFindings = 20 // of each run
 )
 
-// errUsageGrowth is returned if the nodes' resource usage with many servers exceeds a limit.
+// errUsageGrowth is returned if the nodes' resource usage with many servers exceeds a limit of soak.CompareUsage.
 var errUsageGrowth = errors.New("the nodes' resource usage grows too much with the number of servers")
 
 // errViolations is returned if a run found violations of the rules.
 var errViolations = errors.New("rules were violated")
 
-// command has the command's flags.
+// command holds the flags of the program.
 type command struct {
 	Seed     uint64        `help:"Of the plan." default:"1"`
 	Seeds    string        `help:"Play these seeds one after the other instead, both ends among them." placeholder:"A..B"`
@@ -160,11 +160,11 @@
 		if err != nil {
 			return err
 		}
-		lines, broken := soak.CompareUsage(usual, large)
+		lines, exceeded := soak.CompareUsage(usual, large)
 		for _, line := range lines {
 			fmt.Fprintln(out, "  growth:", line)
 		}
-		if broken {
+		if exceeded {
 			return errUsageGrowth
 		}
 	}
@@ -181,9 +181,9 @@
 		"%d kB, %d descriptors; %d findings, node violations %v, denials %v\n", seed, len(r.Plan.Disruptions), r.Counts.Requests,
 		r.Counts.Statuses, r.Counts.Attempts, r.Counts.Abandoned, r.Counts.CloseRaces, r.Counts.LostToKill, r.Counts.BadPeers, r.Starts,
 		r.SlowestStart.Round(time.Millisecond), r.MaxMemoryKB, r.MaxDescriptors, len(r.Findings), r.Violations, r.Denials)
-	if v := r.Plan.Overload; v != nil {
+	if overload := r.Plan.Overload; overload != nil {
 		fmt.Fprintf(out, "  overload: %d servers with a total capacity of %.0f requests a second, service time %v, %.2f of a core; usage %+v, maximum lateness %v\n",
-			r.Plan.Servers, v.Capacity, v.ServiceTime, v.CPUShare, r.Usage, r.Counts.MaxLateness)
+			r.Plan.Servers, overload.Capacity, overload.ServiceTime, overload.CPUShare, r.Usage, r.Counts.MaxLateness)
 	}
 	for i, f := range r.Findings {
 		if i == maxPrintedFindings {
--- a/cmd/wayhold/inherit.go
+++ b/cmd/wayhold/inherit.go
@@ -13,7 +13,7 @@
 const inheritedFDEnv = "ROUTER_INHERITED_FD"
 
 // inheritListener returns a listener for the inherited descriptor whose number fdText holds. The socket must be
-// closed but never shut down, because other processes share it.
+// closed but never shut down (see shutdown(2)), because other processes share it.
 func inheritListener(fdText string) (net.Listener, error) {
 	fd, err := strconv.ParseUint(fdText, 10, 31)
 	if err != nil {
--- a/cmd/wayhold/main.go
+++ b/cmd/wayhold/main.go
@@ -24,7 +24,8 @@
 const heapFraction = 0.6
 
 // A configuration that can't be read at SIGHUP is read again with exponential backoff until reloadTimeout has passed.
-// The old discovery address closes 1.5 s after the signal, and the lists at the new address count from 4 s after it.
+// The old discovery address closes 1.5 s after the signal, and the lists at the new address count as delivered to the
+// node from 4 s after it.
 const (
 	reloadTimeout   = time.Minute
 	firstRetryDelay = 10 * time.Millisecond
@@ -97,8 +98,8 @@
 	return node.Run(ctx, config, listeners, addresses)
 }
 
-// retryAtStart retries an operation that fails for a temporary reason, such as a lack of descriptors: a process that
-// exits during its start counts as crashed.
+// retryAtStart retries an operation that fails for a temporary reason, such as a lack of descriptors, since a process
+// that exits during its start counts as crashed.
 func retryAtStart(attempt func() error) error {
 	return syserr.Retry(context.Background(), startTimeout,
 		syserr.Backoff{Initial: firstRetryDelay, Max: maxStartDelay}, attempt)
@@ -110,7 +111,7 @@
 
 // reloadOnSignal reads the discovery address from the configuration again at each SIGHUP until done is closed, and
 // keeps only the newest address in the channel. A file that is unreadable or incomplete is retried until reloadTimeout
-// has passed: descriptors may be short for a moment, or the file may still be being written.
+// has passed: the process may be out of descriptors for a moment, or the file may not be completely written yet.
 func reloadOnSignal(hup <-chan os.Signal, addresses chan string, done <-chan struct{}) {
 	var retry <-chan time.Time // nil: no retry is scheduled
 	var deadline time.Time
--- a/internal/discovery/discovery.go
+++ b/internal/discovery/discovery.go
@@ -1,5 +1,6 @@
-// Package discovery follows the list of servers with long polls: it watches the list, retries after failures, and
-// meets the deadline by which news counts as delivered (PROTOCOL and STANDING of the operators' pages).
+// Package discovery keeps the list of servers up to date with long polls, and retries them after failures. The operators'
+// pages PROTOCOL and STANDING say when a change of the list counts as delivered to the node, whether or not the node has
+// fetched it; the timeouts and pauses below are chosen to fetch it in time.
 package discovery
 
 import (
@@ -25,42 +26,47 @@
 	"cobaltward/policy"
 )
 
-// Whatever discovery has counts as delivered maxUpdateDelay after it became reachable, whichever call failed to fetch it, and
-// the grace of the rule on drains runs from then. A watch that gets no answer any more looks like one without news, so it
-// is given up long before that: the next call needs time as well, since discovery handles calls one by one and all
-// watches of the fleet may have stopped answering at once.
+// A change counts as delivered maxUpdateDelay after discovery has it and is reachable, even if the node's calls failed to
+// fetch it, and the drain grace starts at that time. A watch that will never be answered looks like one without changes,
+// so every watch ends long before that: the next call needs time as well, since discovery handles calls one by one and
+// the watches of all nodes may have stopped being answered at once.
 const (
 	maxUpdateDelay = 6 * time.Second
-	watchMargin    = 4400 * time.Millisecond // part of maxUpdateDelay plus the grace that a watch's mean wait leaves to later calls
-	callSpacing    = time.Second / 3         // between two nodes' calls; discovery was seen to keep up with it for few nodes
-	maxWaitSpread  = 3250 * time.Millisecond // upper bound of the spread of the waits, for many nodes
-	answerSlack    = 500 * time.Millisecond  // allowed after the wait; answers were seen within 10 ms, also on the busiest days
-	checkWait      = 300 * time.Millisecond  // wait of a call that checks whether discovery is reachable
-	callTimeout    = 2 * time.Second         // for an answer without a wait, while news is due soon
-	// Otherwise discovery may take longer: a call that is given up in its queue has to queue again from the end.
-	// The three are the first timeout, the increment for each timeout in a row, and the maximum.
+	// watchMargin is left for later calls: a watch's mean wait is maxUpdateDelay plus the drain grace less watchMargin.
+	watchMargin   = 4400 * time.Millisecond
+	callSpacing   = time.Second / 3         // between two nodes' calls; discovery was observed to keep up with it for few nodes
+	maxWaitSpread = 3250 * time.Millisecond // maximum difference between the nodes' waits, reached with many nodes
+	// answerSlack is added to a watch's wait for its timeout. Answers were observed within 10 ms of the wait, also under the
+	// highest load.
+	answerSlack = 500 * time.Millisecond
+	checkWait   = 300 * time.Millisecond // wait of a call while it isn't known whether discovery is reachable
+	callTimeout = 2 * time.Second        // of an urgent call without a wait (see urgent)
+	// Timeouts of all other calls without a wait: the first, the increment for each timeout in a row, and the maximum. They
+	// are longer, since a call that is abandoned in discovery's queue has to queue again from the end.
 	queueTimeout, queueTimeoutStep, maxQueueTimeout = 3 * time.Second, time.Second, 6 * time.Second
-	baseBodyTimeout                                 = 500 * time.Millisecond // from an answer's first byte, from when its news may count, to its last
-	maxBodyTimeout                                  = 4 * time.Second        // maximum of the same, which doubles with each failure in a row
-	// batchDelay is the pause in which changes accumulate before the next call, while they arrive faster than that. With
-	// a call for each change, these calls would be most of a node's traffic when a zone is lost. Discovery takes a
-	// call up to 200 ms after an answer as the same watch.
+	// Timeout from an answer's first byte, when its changes may already count as delivered, to its last. It doubles with
+	// each failure in a row, from the base to the maximum.
+	baseBodyTimeout = 500 * time.Millisecond
+	maxBodyTimeout  = 4 * time.Second
+	// batchDelay is a pause before the next call in which changes accumulate, used while they arrive faster than that. With
+	// a call for each change, these calls would be most of a node's traffic when a zone is lost. Discovery treats a call
+	// within 200 ms of an answer as a continuation of the same watch.
 	batchDelay = 100 * time.Millisecond
-	// maxRequestWait bounds the wait for the decision module's update request, which comes within 2.25 s of a failed call and
-	// within 4 s of the start. Without a bound, a late event loop would break the deadline of maxUpdateDelay.
-	maxRequestWait      = 2500 * time.Millisecond
-	maxFirstRequestWait = 4500 * time.Millisecond
-	backoffMin          = 25 * time.Millisecond
-	// backoffMax keeps pauses within the grace of drains: what the agent of a pushed list has counts as delivered, also
-	// while the node pauses after a failed call.
+	// These two bound the wait for the decision module's update request, which comes within 2.25 s of a failed call and
+	// within 4 s of the start. Without a bound, a late event loop could delay an update beyond maxUpdateDelay.
+	maxUpdateRequestWait      = 2500 * time.Millisecond
+	maxFirstUpdateRequestWait = 4500 * time.Millisecond
+	backoffMin                = 25 * time.Millisecond
+	// backoffMax keeps pauses within the drain grace: a change that the agent of a pushed list holds counts as delivered
+	// even while the node pauses after a failed call.
 	backoffMax = 200 * time.Millisecond
-	// After a move to another address, news counts as delivered from moveUpdateDelay on. All nodes may be moved together,
-	// so their first calls are spread.
+	// After a move to another address, the changes there count as delivered from moveUpdateDelay on. All nodes may be moved
+	// together, so their first calls are spread over time.
 	moveUpdateDelay    = 4 * time.Second
 	maxMoveSpread      = time.Second
 	moveSpacing        = 50 * time.Millisecond
-	urgentPauseDivisor = 3 // divides the time left: the longest pause between urgent calls
-	// maxListSize is the largest answer in bytes where Config sets no limit. A longer one is rejected.
+	urgentPauseDivisor = 3 // the longest pause between urgent calls is the time left divided by this
+	// maxListSize is the maximum size of an answer in bytes where Config sets no limit. A larger one is rejected.
 	maxListSize = 8 << 20
 )
 
@@ -173,7 +179,7 @@
 	return l, nil
 }
 
-// Update is an update of the list from discovery, or the report that it is unavailable.
+// Update is a full list or a delta received from discovery, or the report that discovery is unavailable.
 type Update struct {
 	Kind                policy.ListKind
 	Members             []Member
@@ -184,13 +190,13 @@
 // Config configures a Client.
 type Config struct {
 	Addr      string
-	Subscribe bool  // watch only on request, and report failures
+	Subscribe bool  // watch only at the decision module's request, and report failures to it
 	Revision  int64 // of the list that the node holds
-	// Node is the node's number and Nodes their total count, by which calls are spread.
+	// Node is the node's number and Nodes the number of all nodes, by which calls are spread over time.
 	Node, Nodes       int
 	Seed              uint64
-	DrainGrace        time.Duration // of the rule on drains, from when news counts as delivered
-	ListRefreshWithin time.Duration // within which a node without a watch has to ask; 0: maxUpdateDelay alone applies
+	DrainGrace        time.Duration // of the rule on drains, from when a drain counts as delivered
+	ListRefreshWithin time.Duration // how often a node without a watch must fetch the list; 0: only maxUpdateDelay applies
 	MaxListSize       int64         // maximum bytes of one answer, from the memory available for lists; 0: 8 MiB
 	// Dial opens connections; nil means TCP.
 	Dial func(ctx context.Context, network, addr string) (net.Conn, error)
@@ -198,32 +204,32 @@
 
 // Client watches the list of servers over a connection of its own. Create one with New.
 type Client struct {
-	client         *http.Client
+	httpClient     *http.Client
 	subscribe      bool
 	maxSize        int64
 	updateRequests chan bool // the decision module's latest update request
 	onUpdate       func(Update)
 
 	// Used by Run only.
-	addr            string
-	revision        int64
-	fullList        bool      // the next call fetches the full list
-	unverified      bool      // it isn't known that discovery is reachable: the next call waits for checkWait only
-	updatesDeclined bool      // the decision module has requested no updates
-	failures        int       // failed calls in a row
-	timeouts        int       // timeouts in a row, up to the latest failure
-	firstFailure    time.Time // time of the first failure in a row
-	lastFailure     time.Time // time of the latest failure
-	// updateDue is when news that failed calls may have missed counts as delivered; zero if none is known to be missing.
+	addr                string
+	revision            int64
+	fullList            bool      // the next call fetches the full list, not a delta
+	reachabilityUnknown bool      // it isn't known whether discovery is reachable: the next call waits for checkWait only
+	updatesDeclined     bool      // the decision module has requested no updates
+	failures            int       // failed calls in a row
+	timeouts            int       // timeouts in a row, up to the latest failure
+	firstFailure        time.Time // time of the first failure in a row
+	lastFailure         time.Time // time of the latest failure
+	// updateDue is when changes that failed calls may have missed count as delivered; zero if no change may be missing.
 	updateDue   time.Time
-	updateDelay time.Duration // from when discovery has news until it counts as delivered, for a node without a watch
+	updateDelay time.Duration // from when discovery has a change until it counts as delivered, for a node without a watch
 	lastCallDue time.Time     // updateDue of the latest call, in case it gets no answer
-	// batched is set if a batchDelay pause followed the last answer; changes in that pause count as delivered at once.
-	// quick is set if the call before was answered with changes in less than batchDelay.
-	batched, quick bool
-	drainGrace     time.Duration // of the rule on drains, from updateDue on
-	nodes          int
-	rng            *rand.Rand
+	// batched is set if a pause of batchDelay followed the last answer; changes in that pause count as delivered at once.
+	// answeredQuickly is set if the last call was answered with changes in less than batchDelay.
+	batched, answeredQuickly bool
+	drainGrace               time.Duration // Config.DrainGrace, which starts at updateDue
+	nodes                    int
+	rng                      *rand.Rand
 
 	mu          sync.Mutex
 	pendingAddr string             // the address to move to, until Run applies it
@@ -231,17 +237,17 @@
 }
 
 // New returns a Client, which is idle until Run. It calls onUpdate sequentially.
-func New(c Config, onNews func(Update)) *Client {
+func New(c Config, onUpdate func(Update)) *Client {
 	dial := c.Dial
 	if dial == nil {
 		dial = (&net.Dialer{Timeout: callTimeout}).DialContext
 	}
 	d := &Client{
 		addr: c.Addr, subscribe: c.Subscribe, maxSize: c.MaxListSize,
-		revision: c.Revision, unverified: true, updateRequests: make(chan bool, 1), onUpdate: onNews, interrupt: func() {},
+		revision: c.Revision, reachabilityUnknown: true, updateRequests: make(chan bool, 1), onUpdate: onUpdate, interrupt: func() {},
 		drainGrace: c.DrainGrace, nodes: c.Nodes, updateDelay: maxUpdateDelay,
 		rng: rand.New(rand.NewPCG(c.Seed, uint64(c.Node))),
-		client: &http.Client{
+		httpClient: &http.Client{
 			// A separate Transport: the connection is shared with neither a proxy nor the requests.
 			Transport:     &http.Transport{DisableCompression: true, MaxConnsPerHost: 1, DialContext: dial},
 			CheckRedirect: func(*http.Request, []*http.Request) error { return http.ErrUseLastResponse },
@@ -283,7 +289,7 @@
 		slog.Info("discovery: moved", "address", d.pendingAddr)
 		d.addr, d.pendingAddr = d.pendingAddr, ""
 		d.fullList = true // revisions of different addresses may not be comparable
-		d.client.CloseIdleConnections()
+		d.httpClient.CloseIdleConnections()
 	}
 	ctx, d.interrupt = context.WithCancel(ctx)
 	return ctx, d.interrupt, moved
@@ -291,16 +297,16 @@
 
 // Run watches until ctx ends.
 func (d *Client) Run(ctx context.Context) {
-	defer d.client.CloseIdleConnections()
+	defer d.httpClient.CloseIdleConnections()
 	watching, backoff := !d.subscribe, time.Duration(0)
 	for ctx.Err() == nil {
 		callCtx, cancel, moved := d.applyMove(ctx)
 		if moved {
-			// Call almost at once, even where the decision module waits to retry the old address.
+			// Call soon, even if the decision module is still waiting to retry the old address.
 			now := time.Now()
 			watching, backoff, d.failures, d.timeouts = true, 0, 0, 0
 			latest := now.Add(moveUpdateDelay)
-			for _, due := range []time.Time{d.updateDue, d.lastCallDue} { // calls to the old address may have failed, or had no answer
+			for _, due := range []time.Time{d.updateDue, d.lastCallDue} { // calls to the old address may have failed or be unanswered
 				if !due.IsZero() && due.Before(latest) {
 					latest = due
 				}
@@ -310,7 +316,7 @@
 			pause(callCtx, min(time.Duration(d.rng.Float64()*float64(spread)), latest.Add(d.drainGrace-callTimeout).Sub(now)))
 		}
 		if d.subscribe {
-			watching = d.awaitRequest(callCtx, watching)
+			watching = d.awaitUpdateRequest(callCtx, watching)
 		}
 		if watching && callCtx.Err() == nil {
 			watching, backoff = d.callOnce(callCtx, backoff)
@@ -326,9 +332,9 @@
 	l, err := d.fetchList(ctx, c)
 	switch {
 	case err == nil:
-		d.deliver(l, c.started)
+		d.acceptList(l, c.started)
 		quick := c.wait > checkWait && len(l.Members) > 0 && time.Since(c.started) < batchDelay
-		if d.batched, d.quick = quick && d.quick, quick; d.batched { // twice in a row is unlikely to be chance
+		if d.batched, d.answeredQuickly = quick && d.answeredQuickly, quick; d.batched { // twice in a row is unlikely to be chance
 			pause(ctx, batchDelay)
 		}
 		return true, 0
@@ -336,7 +342,7 @@
 		return true, 0
 	}
 	d.recordFailure(c, err)
-	if !d.subscribe { // the last list stays in force, and the decision module need not know
+	if !d.subscribe { // the last list stays in force, and the failure isn't reported to the decision module
 		backoff = nextBackoff(backoff)
 		pause(ctx, backoff/2+time.Duration(d.rng.Float64()*float64(backoff/2))) // jitter, so that nodes don't synchronize
 		return true, backoff
@@ -355,17 +361,17 @@
 // listCall is the plan and the state of one call for the list.
 type listCall struct {
 	started       time.Time
-	wait, timeout time.Duration // for news at the server, and for the call as a whole
+	wait, timeout time.Duration // how long discovery may wait for a change, and the timeout until the answer's first byte
 	bodyTimeout   time.Duration // timeout from the first byte of the answer to its last
-	connected     atomic.Bool   // a connection to discovery was obtained
+	connected     atomic.Bool   // the call got a connection to discovery
 	responseBegan atomic.Bool   // the answer has begun
 	timedOut      bool          // it was cancelled after its timeout
-	failed        bool          // it failed before its timeout
+	failed        bool          // it failed for another reason
 	refused       bool          // discovery answered with an error status
 }
 
-// planCall sets the wait and the timeouts of the next call. The waits of many nodes differ, since a change answers all
-// their watches at the same time: watches that stop answering then neither time out nor are retried all at once.
+// planCall sets the wait and the timeouts of the next call. The waits are random, since a change answers the watches of
+// all nodes at the same time: if the next watches are never answered, they neither time out nor are retried all at once.
 func (d *Client) planCall() *listCall {
 	c := &listCall{started: time.Now(), bodyTimeout: min(maxBodyTimeout, baseBodyTimeout<<min(d.failures, 10))}
 	c.timeout = min(maxQueueTimeout, queueTimeout+time.Duration(d.timeouts)*queueTimeoutStep)
@@ -374,7 +380,7 @@
 	}
 	switch {
 	case d.fullList:
-	case d.unverified:
+	case d.reachabilityUnknown:
 		c.wait = checkWait
 		c.timeout += c.wait
 	default:
@@ -386,12 +392,12 @@
 	return c
 }
 
-// recordFailure records a failed call, and when the news that it may have missed counts as delivered.
+// recordFailure records a failed call, and when the changes that it may have missed count as delivered.
 func (d *Client) recordFailure(c *listCall, err error) {
 	now := time.Now()
 	if d.failures++; d.failures == 1 {
 		d.firstFailure = now
-		// An established watch returned all news up to its end; a call that waited in the queue returned none.
+		// A watch in progress would have returned all changes up to its end; a call in discovery's queue returns none.
 		if d.lastFailure = c.started; !c.refused {
 			d.lastFailure = now.Add(-min(now.Sub(c.started), callTimeout))
 		}
@@ -399,29 +405,29 @@
 	if d.timeouts++; !c.timedOut {
 		d.timeouts = 0
 	}
-	d.unverified = true
-	// After the first failure, discovery may have been reachable again since the failure before this one.
+	d.reachabilityUnknown = true
+	// From the second failure on, discovery may have been reachable again since right after the previous one.
 	due := d.lastFailure.Add(d.updateDelay)
 	switch {
-	case c.responseBegan.Load(): // part of the answer was written, and its news counts
+	case c.responseBegan.Load(): // part of the answer arrived, so its changes count as delivered
 		due = now
-	case !c.connected.Load(): // without a connection, no news could be delivered
+	case !c.connected.Load(): // without a connection, no changes could be delivered
 		if due = now.Add(d.updateDelay); d.updateDue.After(now) {
 			d.updateDue = due
 		}
 	case c.timedOut && d.failures == 1:
 		due = c.started.Add(maxUpdateDelay)
 	}
-	if d.batched && due.After(c.started) { // changes during the batch pause counted at once
+	if d.batched && due.After(c.started) { // changes during the pause of batchDelay counted as delivered at once
 		due = c.started
 	}
-	d.batched, d.quick = false, false
+	d.batched, d.answeredQuickly = false, false
 	if d.updateDue.IsZero() || due.Before(d.updateDue) {
 		d.updateDue = due
 	}
 	d.lastFailure = now
 	if !d.subscribe && d.failures > 1 {
-		return // the agent of a pushed list is retried soon and often
+		return // calls to the agent of a pushed list are retried too often to log each failure
 	}
 	msg := "discovery: watch failed"
 	if c.timedOut {
@@ -430,19 +436,19 @@
 	slog.Warn(msg, "after", now.Sub(c.started), "wait", c.wait, "revision", d.revision, "in_a_row", d.failures, "err", err)
 }
 
-// urgent reports whether news that counts as delivered, or soon will, can still be fetched within the grace of drains.
+// urgent reports whether failed calls may have missed changes that can still be fetched within the drain grace.
 func (d *Client) urgent() bool { return time.Now().Before(d.updateDue.Add(d.drainGrace)) }
 
 // urgentPause returns a random pause between two urgent calls. Its bound grows with each failure, limited by the time
-// left; the jitter keeps nodes from synchronizing.
+// left of the drain grace; the jitter keeps nodes from synchronizing.
 func (d *Client) urgentPause() time.Duration {
 	span := min(time.Until(d.updateDue.Add(d.drainGrace))/urgentPauseDivisor, time.Duration(d.nodes)*callSpacing<<min(d.failures-1, 10))
 	return max(backoffMin, time.Duration(d.rng.Float64()*float64(span)))
 }
 
-// awaitRequest takes the decision module's latest update request. It waits for one only while not watching, and for at
-// most requestTimeout, unless the module has requested no updates.
-func (d *Client) awaitRequest(ctx context.Context, watching bool) bool {
+// awaitUpdateRequest takes the decision module's latest update request. It waits for one only while not watching, and for
+// at most updateRequestTimeout, unless the module has requested no updates.
+func (d *Client) awaitUpdateRequest(ctx context.Context, watching bool) bool {
 	if watching {
 		select {
 		case enabled := <-d.updateRequests:
@@ -452,9 +458,9 @@
 			return true
 		}
 	}
-	var expired <-chan time.Time // nil after a request for no updates: wait without limit
+	var expired <-chan time.Time // nil after a request to stop updates: wait without limit
 	if !d.updatesDeclined {
-		timer := time.NewTimer(d.requestTimeout())
+		timer := time.NewTimer(d.updateRequestTimeout())
 		defer timer.Stop()
 		expired = timer.C
 	}
@@ -470,12 +476,12 @@
 	}
 }
 
-// requestTimeout is how long the next call waits for the decision module's update request.
-func (d *Client) requestTimeout() time.Duration {
+// updateRequestTimeout is how long the next call waits for the decision module's update request.
+func (d *Client) updateRequestTimeout() time.Duration {
 	if d.failures == 0 {
-		return maxFirstRequestWait
+		return maxFirstUpdateRequestWait
 	}
-	return maxRequestWait
+	return maxUpdateRequestWait
 }
 
 var errTimeout = errors.New("no answer in time")
@@ -509,13 +515,13 @@
 	if err != nil {
 		return List{}, err
 	}
-	resp, err := d.client.Do(req)
+	resp, err := d.httpClient.Do(req)
 	if err != nil {
 		return List{}, err
 	}
 	defer resp.Body.Close()
 	if resp.StatusCode != http.StatusOK {
-		c.responseBegan.Store(false) // an error status carries no news
+		c.responseBegan.Store(false) // an error status carries no changes
 		c.refused = true
 		return List{}, fmt.Errorf("answered %s", resp.Status)
 	}
@@ -557,19 +563,19 @@
 	return n, err
 }
 
-// deliver records a fetched list and passes it on. An empty delta is passed on only where the decision module awaits an
-// answer.
-func (d *Client) deliver(l List, started time.Time) {
+// acceptList records a fetched list and passes it on. An empty delta is passed on only where the decision module awaits
+// an answer.
+func (d *Client) acceptList(l List, started time.Time) {
 	if d.failures > 0 {
 		slog.Info("discovery: reachable again", "after", time.Since(d.firstFailure), "failed", d.failures, "revision", l.Revision)
 	}
-	d.revision, d.fullList, d.unverified, d.failures, d.timeouts, d.updateDue = l.Revision, false, false, 0, 0, time.Time{}
-	n := Update{Kind: policy.ListUpdate, Members: l.Members, Revision: l.Revision, Requested: started, Received: time.Now()}
+	d.revision, d.fullList, d.reachabilityUnknown, d.failures, d.timeouts, d.updateDue = l.Revision, false, false, 0, 0, time.Time{}
+	update := Update{Kind: policy.ListUpdate, Members: l.Members, Revision: l.Revision, Requested: started, Received: time.Now()}
 	if l.Complete {
-		n.Kind = policy.ListReplace
+		update.Kind = policy.ListReplace
 	}
 	if l.Complete || len(l.Members) > 0 || d.subscribe {
-		d.onUpdate(n)
+		d.onUpdate(update)
 	}
 }
 
--- a/internal/faultpoint/on.go
+++ b/internal/faultpoint/on.go
@@ -38,16 +38,16 @@
 }
 
 var faults = sync.OnceValue(func() *injector {
-	s, err := parse(os.Getenv(EnvVar))
+	inj, err := parse(os.Getenv(EnvVar))
 	if err != nil {
 		fmt.Fprintf(os.Stderr, "%s: %v\n", EnvVar, err)
 		os.Exit(1)
 	}
-	return s
+	return inj
 })
 
 func parse(text string) (*injector, error) {
-	s := &injector{rates: make(map[Call]float64), start: time.Now()}
+	inj := &injector{rates: make(map[Call]float64), start: time.Now()}
 	seed := uint64(0)
 	for _, item := range strings.Split(text, ",") {
 		name, value, _ := strings.Cut(item, "=")
@@ -62,49 +62,49 @@
 			if st.offset, err = time.ParseDuration(offset); err == nil {
 				st.at, err = time.ParseDuration(at)
 			}
-			s.steps = append(s.steps, st)
+			inj.steps = append(inj.steps, st)
 		default:
 			if errnos[Call(name)] == nil {
 				return nil, fmt.Errorf("unknown call %q", name)
 			}
-			s.rates[Call(name)], err = strconv.ParseFloat(value, 64)
+			inj.rates[Call(name)], err = strconv.ParseFloat(value, 64)
 		}
 		if err != nil {
 			return nil, fmt.Errorf("%s: %w", name, err)
 		}
 	}
-	s.rng = rand.New(rand.NewPCG(seed, 9))
-	return s, nil
+	inj.rng = rand.New(rand.NewPCG(seed, 9))
+	return inj, nil
 }
 
 // Fail returns the error to inject into a call, or nil.
 func Fail(call Call) error {
-	s := faults()
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	if rate := s.rates[call]; rate == 0 || s.rng.Float64() >= rate {
+	inj := faults()
+	inj.mu.Lock()
+	defer inj.mu.Unlock()
+	if rate := inj.rates[call]; rate == 0 || inj.rng.Float64() >= rate {
 		return nil
 	}
 	codes := errnos[call]
-	return os.NewSyscallError(string(call), codes[s.rng.IntN(len(codes))])
+	return os.NewSyscallError(string(call), codes[inj.rng.IntN(len(codes))])
 }
 
 // ShortenRead returns how many of n bytes a read may request.
 func ShortenRead(n int) int {
-	s := faults()
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	if rate := s.rates[Read]; n < 2 || rate == 0 || s.rng.Float64() >= rate {
+	inj := faults()
+	inj.mu.Lock()
+	defer inj.mu.Unlock()
+	if rate := inj.rates[Read]; n < 2 || rate == 0 || inj.rng.Float64() >= rate {
 		return n
 	}
-	return 1 + s.rng.IntN(n-1)
+	return 1 + inj.rng.IntN(n-1)
 }
 
 // WallOffset returns the current offset of the wall clock.
 func WallOffset() (offset time.Duration) {
-	s := faults()
-	for _, st := range s.steps {
-		if time.Since(s.start) >= st.at {
+	inj := faults()
+	for _, st := range inj.steps {
+		if time.Since(inj.start) >= st.at {
 			offset += st.offset
 		}
 	}
--- a/internal/invariant/monitor.go
+++ b/internal/invariant/monitor.go
@@ -17,22 +17,22 @@
 	start            atomic.Pointer[time.Time]
 }
 
-// Deny counts a step that was not taken because it would have violated a rule.
-func (m *Monitor) Deny(rule Rule) {
+// RecordDenial counts a step that was not taken because it would have violated a rule.
+func (m *Monitor) RecordDenial(rule Rule) {
 	if rule > None && rule < ruleCount {
 		m.denied[rule].Add(1)
 	}
 }
 
-// DenyUnexpected counts a denied step that the decision module requested although it had the facts to know better, and
-// logs the request's id: the module's own rules should have prevented the request.
-func (m *Monitor) DenyUnexpected(rule Rule, id string, details ...any) {
-	m.Deny(rule)
+// RecordUnexpectedDenial counts a denied step that the decision module should not have requested, since it had the facts
+// that rule the step out. It also logs the id of the request.
+func (m *Monitor) RecordUnexpectedDenial(rule Rule, id string, details ...any) {
+	m.RecordDenial(rule)
 	m.log(rule, "step denied, the decision module should not have requested it", id, details)
 }
 
-// Violation counts a violated rule and logs the request's id.
-func (m *Monitor) Violation(rule Rule, id string, details ...any) {
+// RecordViolation counts a violated rule and logs the id of the request.
+func (m *Monitor) RecordViolation(rule Rule, id string, details ...any) {
 	if rule <= None || rule >= ruleCount {
 		return
 	}
--- a/internal/invariant/rules.go
+++ b/internal/invariant/rules.go
@@ -19,7 +19,7 @@
 	None                  Rule = iota
 	AttemptAfterAnswer         // an attempt of a request that has its final answer
 	AttemptAfterDeparture      // an attempt whose client has closed its connection
-	AttemptAfterDeadline       // an attempt with no client waiting any more
+	AttemptAfterDeadline       // an attempt too late for the client's deadline
 	TooManyAttempts            // more attempts than limits.maxAttempts
 	BodySpent                  // an attempt with a large body that is no longer buffered
 	ConcurrentAttempts         // a second attempt in flight where limits.secondCopies is false
@@ -69,8 +69,8 @@
 	DepartureGrace = 100 * time.Millisecond
 	// DeadlineSlack is by how much the time given to a server may exceed the time the client has left (TERMS).
 	DeadlineSlack = 150 * time.Millisecond
-	// MinAttemptTime is the time that a request must have left for an attempt to start: servers are given whole
-	// milliseconds, and may silently drop what has less (STANDING).
+	// MinAttemptTime is the time that a request must have left for an attempt to start: servers are given their time in
+	// whole milliseconds, and may silently drop a request with less time than this (STANDING).
 	MinAttemptTime = 2 * time.Millisecond
 	// AnswerGrace is how long after the client's deadline a final answer still counts as on time (STANDING).
 	AnswerGrace = 500 * time.Millisecond
@@ -118,7 +118,8 @@
 // TimeUp reports whether a request has too little time left for an attempt to start.
 func TimeUp(left time.Duration) bool { return left < MinAttemptTime }
 
-// mayRepeat implements the second rule of the contract (WIRE, no duplicate effect).
+// mayRepeat returns the rule on repeated or concurrent attempts that an attempt would violate now. It implements the
+// contract's second rule (WIRE, no duplicate effect).
 func mayRepeat(a Attempt) Rule {
 	firstRun := -1
 	for i, p := range a.Prior {
@@ -148,7 +149,7 @@
 	ServerUnknown bool
 	ServerLeaving bool
 	WindowOver    bool // of a keyed repeat
-	TimeUp        bool // no client is waiting any more
+	TimeUp        bool // nobody waits for the attempt any more, or too little time is left
 }
 
 // MayWrite returns the rule that the first byte of an attempt would violate now. Callers check it just before the write,
@@ -199,8 +200,8 @@
 	return None
 }
 
-// Connection holds the facts about a client connection that the node wants to close, where neither the client nor an
-// answer closes it.
+// Connection holds the facts about a client connection that the node wants to close, other than because the client has
+// closed it or because its last answer ends it.
 type Connection struct {
 	RequestOpen bool // it carries a complete request that isn't answered yet
 	ReadAhead   int  // bytes read that belong to a request not accepted yet
--- a/internal/invariant/rules_test.go
+++ b/internal/invariant/rules_test.go
@@ -118,13 +118,13 @@
 	var wg sync.WaitGroup
 	for range 20 {
 		wg.Go(func() {
-			m.Violation(AnswerLate, "r1", "after", time.Second)
-			m.Deny(ReadAfterShutdown)
-			m.DenyUnexpected(UnsafeRepeat, "r2")
+			m.RecordViolation(AnswerLate, "r1", "after", time.Second)
+			m.RecordDenial(ReadAfterShutdown)
+			m.RecordUnexpectedDenial(UnsafeRepeat, "r2")
 		})
 	}
 	wg.Wait()
-	m.Violation(None, "r3")
+	m.RecordViolation(None, "r3")
 	denied, violated := m.Counts()
 	if len(denied) != 2 || denied["read_after_shutdown"] != 20 || denied["unsafe_repeat"] != 20 ||
 		len(violated) != 1 || violated["answer_late"] != 20 {
--- a/internal/logging/writer.go
+++ b/internal/logging/writer.go
@@ -59,7 +59,7 @@
 	return w.dropped
 }
 
-// Flush waits until all queued lines have been written, or for the timeout.
+// Flush waits until all queued lines have been written, but no longer than the timeout.
 func (w *Writer) Flush(timeout time.Duration) {
 	expired := false
 	timer := time.AfterFunc(timeout, func() {
--- a/internal/node/accept.go
+++ b/internal/node/accept.go
@@ -23,8 +23,8 @@
 }
 
 // acceptWithRetry accepts the next connection. accept(2) on Linux also returns pending errors of the new connection and
-// temporary resource shortages; net/http would treat most of them as the end of the listener. acceptWithRetry retries
-// them and returns an error only if the listener is closed or can never accept.
+// temporary resource shortages; net/http would stop serving on most of them. acceptWithRetry retries them and returns
+// an error only if the listener is closed or has failed permanently.
 func acceptWithRetry(l net.Listener) (net.Conn, error) {
 	backoff := syserr.Backoff{Initial: minAcceptPause, Max: maxAcceptPause}
 	for {
--- a/internal/node/accept_test.go
+++ b/internal/node/accept_test.go
@@ -38,7 +38,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		l := newClients(&failingListener{ln, []error{code, code, code}}, 100)
+		l := newClientListener(&failingListener{ln, []error{code, code, code}}, 100)
 		accepted, err := l.Accept()
 		if err != nil {
 			t.Errorf("after %v: %v", code, err)
@@ -52,7 +52,7 @@
 // Accept fails for a closed listener and for a descriptor that is not a listening socket.
 func TestAcceptFailsOnClosedListener(t *testing.T) {
 	for _, code := range []error{net.ErrClosed, syscall.EBADF, syscall.EINVAL, syscall.ENOTSOCK} {
-		if c, err := newClients(&failingListener{errs: []error{code}}, 100).Accept(); err == nil {
+		if c, err := newClientListener(&failingListener{errs: []error{code}}, 100).Accept(); err == nil {
 			t.Errorf("after %v: %v", code, c)
 		}
 	}
--- a/internal/node/admin.go
+++ b/internal/node/admin.go
@@ -14,11 +14,11 @@
 	maxAdminConns  = 12                      // concurrent connections; a further one replaces the oldest
 	adminSockets   = maxAdminConns + 2       // file descriptors reserved for the admin listener
 	adminTimeout   = 2500 * time.Millisecond // for request and response; invalid connections must be closed within 3 s
-	maxAdminHeader = 4 << 10                 // bytes of a request's head
+	maxAdminHeader = 4 << 10                 // bytes of a request head
 )
 
-// adminServer serves the operators' endpoints. It has its own HTTP server, file descriptors and timeouts and reads only
-// atomics, so it responds at once whatever the state of the clients and of the loop.
+// adminServer serves the operators' endpoints. It has its own HTTP server, file descriptors and timeouts and never waits
+// for the loop or for clients, so it responds at once whatever their state.
 type adminServer struct {
 	http     http.Server
 	listener adminListener
@@ -26,22 +26,22 @@
 
 // startAdmin serves operators on l until the server is closed.
 func startAdmin(l net.Listener, name string, life *lifecycle, metrics http.Handler) *adminServer {
-	d := &adminServer{listener: adminListener{Listener: l}}
-	d.http = http.Server{
+	s := &adminServer{listener: adminListener{Listener: l}}
+	s.http = http.Server{
 		Handler: adminHandler(name, life, metrics), MaxHeaderBytes: maxAdminHeader, DisableGeneralOptionsHandler: true,
 		ReadTimeout: adminTimeout, WriteTimeout: adminTimeout,
 		ErrorLog: slog.NewLogLogger(slog.Default().Handler(), slog.LevelDebug),
 	}
-	d.http.SetKeepAlivesEnabled(false) // one request per connection
+	s.http.SetKeepAlivesEnabled(false) // one request per connection
 	go func() {
-		if err := d.http.Serve(&d.listener); err != http.ErrServerClosed {
+		if err := s.http.Serve(&s.listener); err != http.ErrServerClosed {
 			slog.Error("operator: the admin listener has ended", "err", err)
 		}
 	}()
-	return d
+	return s
 }
 
-func (d *adminServer) close() { d.http.Close() }
+func (s *adminServer) close() { s.http.Close() }
 
 // adminHandler serves the admin endpoints, each of which accepts a single method.
 func adminHandler(name string, life *lifecycle, metrics http.Handler) http.Handler {
@@ -58,7 +58,7 @@
 	}
 	endpoints := map[string]struct {
 		method, allow string
-		answer        http.HandlerFunc
+		handle        http.HandlerFunc
 	}{
 		"/status": {http.MethodGet, "GET, HEAD", func(w http.ResponseWriter, _ *http.Request) {
 			status := http.StatusOK
@@ -82,7 +82,7 @@
 			w.Header().Set("Allow", endpoint.allow)
 			http.Error(w, "this call takes "+endpoint.allow, http.StatusMethodNotAllowed)
 		default:
-			endpoint.answer(w, r)
+			endpoint.handle(w, r)
 		}
 	})
 }
@@ -103,8 +103,8 @@
 	_, _ = w.Write(append(text, '\n')) // fails only if the caller has disconnected
 }
 
-// adminListener limits the number of open connections. Requests are answered at once, so the connection that has been
-// open longest is the one that sends no complete request, and is closed to make room.
+// adminListener limits the number of open connections. At the limit it closes the oldest one: since requests are answered
+// at once, the oldest connection is one that hasn't sent a complete request.
 type adminListener struct {
 	net.Listener
 	mu   sync.Mutex
--- a/internal/node/attempts.go
+++ b/internal/node/attempts.go
@@ -11,18 +11,19 @@
 
 // attempt is one attempt of a request at a server, as the loop records it.
 type attempt struct {
-	server string
-	group  serverGroup
-	sentAt policy.Time
-	cancel context.CancelFunc
-	ended  bool // its outcome is known
-	code   policy.Code
-	took   time.Duration // for the log
+	server   string
+	location serverLocation
+	sentAt   policy.Time
+	cancel   context.CancelFunc
+	ended    bool // its outcome is known
+	code     policy.Code
+	took     time.Duration // for the log
 }
 
-// serverGroup identifies the servers that share duplicate detection: within a group, a repeat of a request that one
-// server received is dropped by the others.
-type serverGroup struct {
+// serverLocation is the zone and cell of a server. The servers of a cell, of a zone or of the whole site, depending on the
+// request's class, form a group that shares duplicate detection: a repeat of a request that one of them received is
+// dropped by the others.
+type serverLocation struct {
 	zone string
 	cell int64
 }
@@ -39,7 +40,7 @@
 func (l *loop) startAttempt(ctx context.Context, a policy.Action) {
 	r, now := l.requests[a.ID], l.clock.now()
 	if r == nil {
-		slog.Error("decision module sent a request that is not open")
+		slog.Error("decision module requested an attempt for a request that is not open")
 		return
 	}
 	n := len(r.attempts)
@@ -68,14 +69,14 @@
 	}
 	ctx, cancel := context.WithCancel(ctx)
 	l.lastSent[a.Server] = sentRequest{a.ID, now}
-	r.attempts = append(r.attempts, attempt{server: a.Server, group: l.groupOf(a.Server), sentAt: now, cancel: cancel})
+	r.attempts = append(r.attempts, attempt{server: a.Server, location: l.locationOf(a.Server), sentAt: now, cancel: cancel})
 	l.runningAttempts.Go(func() {
 		defer cancel()
 		l.upstream.sendAttempt(ctx, a.Server, r.clientRequest, attemptParams{
 			deadline:       l.clock.toTime(deadline),
 			clientDeadline: l.clock.toTime(r.arrivedAt + r.clientTimeout),
 			beginBy:        beginBy,
-			clientGone:     r.ctx,
+			requestCtx:     r.ctx,
 			onUploaded: func(took time.Duration) {
 				r.postponeHandler(l.clock, took)
 				l.send(uploadEnd{r, took})
@@ -85,7 +86,7 @@
 	})
 }
 
-// checkAttempt returns the rule that an attempt requested by the decision module would break, or invariant.None.
+// checkAttempt returns the rule that an attempt requested by the decision module would violate, or invariant.None.
 func (l *loop) checkAttempt(r *request, a policy.Action, now policy.Time) invariant.Rule {
 	class := l.classes[r.req.Class]
 	return invariant.MayAttempt(invariant.Attempt{
@@ -97,28 +98,29 @@
 	})
 }
 
-// priorAttempts describes a request's attempts so far to the rules, relative to a further attempt at the given server.
+// priorAttempts returns the facts about a request's attempts so far that the rules need, for a new attempt at the given
+// server.
 func (l *loop) priorAttempts(r *request, class policy.Class, server string) []invariant.PriorAttempt {
 	if len(r.attempts) == 0 {
 		return nil
 	}
-	group := l.groupOf(server)
+	location := l.locationOf(server)
 	prior := make([]invariant.PriorAttempt, len(r.attempts))
 	for i, a := range r.attempts {
 		prior[i] = invariant.PriorAttempt{Sent: a.sentAt, InFlight: !a.ended, MayHaveRun: !a.ended || !a.code.NotRun(),
-			SameGroup: sameGroup(class.Group, a.group, group)}
+			SameGroup: sameGroup(class.Group, a.location, location)}
 	}
 	return prior
 }
 
-// groupOf returns the group of a listed server, or the zero group of any other.
-func (l *loop) groupOf(server string) serverGroup {
+// locationOf returns the location of a listed server, or the zero location for any other.
+func (l *loop) locationOf(server string) serverLocation {
 	m := l.members[server]
-	return serverGroup{m.Zone, m.Cell}
+	return serverLocation{m.Zone, m.Cell}
 }
 
-// sameGroup reports whether two groups are the same under the given kind of grouping.
-func sameGroup(kind policy.Group, a, b serverGroup) bool {
+// sameGroup reports whether servers at two locations are in the same group for the given kind of group.
+func sameGroup(kind policy.Group, a, b serverLocation) bool {
 	switch kind {
 	case policy.GroupAll:
 		return true
@@ -128,15 +130,15 @@
 	return a.cell == b.cell
 }
 
-// skipAttempt records that an attempt was not made, for the decision module to be told. Rules that the module should have
-// obeyed itself are logged; the others it may break without a fault of its own, since a response or the deadline can
-// come between its decision and the attempt.
+// skipAttempt records that an attempt was not made, so that its outcome is reported to the decision module. A violation of
+// a rule that the module checks itself is logged. The other rules can deny an attempt without a fault in the module,
+// since the response or the deadline may come between its decision and the attempt.
 func (l *loop) skipAttempt(r *request, a policy.Action, now policy.Time, denied invariant.Rule) {
 	switch denied {
 	case invariant.ConcurrentAttempts, invariant.UnsafeRepeat, invariant.RepeatOutsideWindow:
-		l.monitor.DenyUnexpected(denied, a.ID, "server", a.Server, "attempts", r.history())
+		l.monitor.RecordUnexpectedDenial(denied, a.ID, "server", a.Server, "attempts", r.history())
 	default:
-		l.monitor.Deny(denied)
+		l.monitor.RecordDenial(denied)
 	}
 	n := len(r.attempts)
 	r.pendingAttempts++
--- a/internal/node/bodies.go
+++ b/internal/node/bodies.go
@@ -12,13 +12,13 @@
 const (
 	// Clients are allowed to send a body as slowly as 64 kB/s, in pieces of any size; minBodyRate leaves a margin below
 	// that. Only the time that the node spends waiting for data counts, so back-pressure doesn't penalize a client.
-	minBodyRate     = 48 << 10 // bytes per second
-	bodyGrace       = 2500 * time.Millisecond
-	minReadGrace    = 700 * time.Millisecond // for a first piece that arrives late
-	slowClientLimit = 2900 * time.Millisecond
-	bodyRatePerCore = 32 << 20              // bytes per second of one body and core, which takes a few hundredths of a core
-	minRateWait     = time.Millisecond      // shorter waits are skipped
-	minReadWait     = 20 * time.Millisecond // allowed even without time left, for data that has already arrived
+	minBodyRate     = 48 << 10                // bytes per second
+	bodyGrace       = 2500 * time.Millisecond // waiting time that a body may take beyond minBodyRate
+	minReadGrace    = 700 * time.Millisecond  // least time for a body or the rest of a head, since the first piece may arrive late
+	slowClientLimit = 2900 * time.Millisecond // for the head and bodyGrace together, but the body gets at least minReadGrace
+	bodyRatePerCore = 32 << 20                // bytes per second of one body, per core of the node; costs a few hundredths of a core
+	minRateWait     = time.Millisecond        // shorter waits are skipped
+	minReadWait     = 20 * time.Millisecond   // allowed even without time left, for data that has already arrived
 )
 
 var (
@@ -31,18 +31,18 @@
 
 // upload is a request body that is being received from a client.
 type upload struct {
-	conn   *http.ResponseController
-	client *clientConn // nil if the connection was accepted by another listener
-	body   io.Reader
-	grace  time.Duration
-	failed chan struct{} // closed when the body can't be received completely, through the client's fault
+	controller *http.ResponseController
+	client     *clientConn // nil if the connection was accepted by another listener
+	body       io.Reader
+	grace      time.Duration
+	failed     chan struct{} // closed when the body can't be received completely, because of the client
 
 	mu      sync.Mutex
 	stopped bool
 	ended   bool  // the last byte has been read
 	err     error // why failed was closed
 
-	// Used only by the goroutine that reads the body.
+	// Used only by the goroutine that reads the body, except for forwarded.
 	limiter   rateLimiter
 	waited    time.Duration
 	received  int64
@@ -52,7 +52,7 @@
 // newUpload reads the body of a request whose head began to arrive the given time ago. Head and body share
 // slowClientLimit, so that a client that sends both very slowly is disconnected in time.
 func newUpload(w http.ResponseWriter, client *clientConn, body io.Reader, elapsed time.Duration, rate float64) *upload {
-	return &upload{conn: http.NewResponseController(w), client: client, body: body, failed: make(chan struct{}), limiter: rateLimiter{rate: rate},
+	return &upload{controller: http.NewResponseController(w), client: client, body: body, failed: make(chan struct{}), limiter: rateLimiter{rate: rate},
 		grace: min(bodyGrace, max(minReadGrace, slowClientLimit-elapsed))}
 }
 
@@ -67,7 +67,7 @@
 		u.mu.Unlock()
 		return 0, errStopped
 	}
-	_ = u.conn.SetReadDeadline(time.Now().Add(max(minReadWait, allowed))) // fails only on closed connections
+	_ = u.controller.SetReadDeadline(time.Now().Add(max(minReadWait, allowed))) // fails only on closed connections
 	u.mu.Unlock()
 	began := time.Now()
 	n, err := u.body.Read(p)
@@ -86,7 +86,7 @@
 			break
 		}
 		// From here on net/http keeps reading to detect a client that disconnects, for as long as the response takes.
-		_ = u.conn.SetReadDeadline(time.Time{})
+		_ = u.controller.SetReadDeadline(time.Time{})
 	case err != nil:
 		return n, u.fail(err)
 	}
@@ -109,7 +109,7 @@
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	u.stopped = true
-	_ = u.conn.SetReadDeadline(time.Unix(1, 0))
+	_ = u.controller.SetReadDeadline(time.Unix(1, 0))
 }
 
 // isComplete reports whether the last byte has been read.
@@ -129,25 +129,25 @@
 // rateLimiter limits the rate of one large body, so that it doesn't starve other requests of processor time. Large
 // bodies aren't urgent, while a burst delays everything else on a node that has only a fraction of a core.
 type rateLimiter struct {
-	rate  float64 // bytes per second
-	until time.Time
+	rate     float64   // bytes per second
+	nextRead time.Time // when the next read may begin
 }
 
 // wait sleeps until the bytes so far are within the rate.
-func (f *rateLimiter) wait() {
-	if d := time.Until(f.until); d >= minRateWait {
+func (l *rateLimiter) wait() {
+	if d := time.Until(l.nextRead); d >= minRateWait {
 		time.Sleep(d)
 	}
 }
 
-func (f *rateLimiter) add(n int) {
-	if now := time.Now(); f.until.Before(now) {
-		f.until = now
+func (l *rateLimiter) add(n int) {
+	if now := time.Now(); l.nextRead.Before(now) {
+		l.nextRead = now
 	}
-	f.until = f.until.Add(time.Duration(float64(n) / f.rate * float64(time.Second)))
+	l.nextRead = l.nextRead.Add(time.Duration(float64(n) / l.rate * float64(time.Second)))
 }
 
-// download is the part of a server's response that is streamed to the client. Whoever holds it must call end.
+// download is the part of a server's response that is streamed to the client. Its holder must call end.
 type download struct {
 	rest   io.Reader
 	length int64 // of the whole response; -1 if unknown
--- a/internal/node/bodies_test.go
+++ b/internal/node/bodies_test.go
@@ -137,7 +137,7 @@
 	u := testUpstream(t, addr)
 	deadline := time.Now().Add(2 * time.Second)
 	var got []byte
-	u.sendAttempt(t.Context(), "s0", testClientRequest(http.MethodGet, "r1", ""), attemptParams{deadline: deadline, clientGone: t.Context(), onEnd: func(r attemptResult) {
+	u.sendAttempt(t.Context(), "s0", testClientRequest(http.MethodGet, "r1", ""), attemptParams{deadline: deadline, requestCtx: t.Context(), onEnd: func(r attemptResult) {
 		if r.code != policy.OK || r.answer.stream == nil {
 			t.Errorf("code %v", r.code)
 			return
--- a/internal/node/client_conn.go
+++ b/internal/node/client_conn.go
@@ -19,7 +19,7 @@
 	owner *clientListener
 
 	// Guarded by the owner's mutex.
-	waitingElement     *linked.Element // in the owner's waiting list; nil while a complete request is in hand
+	waitingElement     *linked.Element // in the owner's waiting list; nil while the node isn't waiting for the client
 	lastActive         time.Time       // when data was last received or a response was finished
 	requestStartedAt   time.Time       // when the current request began to arrive; zero before that
 	lastArrival        time.Time       // when the newest delivered byte arrived
@@ -27,15 +27,15 @@
 	unregistered       bool
 	scanner            headScanner
 	readAhead          readAheadBuffer // read, but not delivered to net/http yet
-	readAheadFullSince time.Time       // data read from now on may have arrived since then; zero: the socket was seen empty
-	chunkedEnd         chan struct{}   // closed at the end of a chunked body; nil: none is being read
-	// inFlight means that the node has a complete request. Data behind it is read ahead and held back, since net/http
-	// takes any byte of it as proof that the client is alive and stops watching for the connection's end.
+	readAheadFullSince time.Time       // unread data may have arrived since then; zero: the socket has been read empty
+	chunkedEnd         chan struct{}   // closed at the end of the chunked body that is being read; nil: there is none
+	// inFlight means that the node has a complete request. Data behind it is read ahead and kept from net/http, which
+	// stops watching for a disconnect as soon as it has read a byte of the next request.
 	inFlight bool
 
-	served              bool // a response has been sent
+	answered            bool // a response has been sent
 	closeAfterReadAhead bool // close once the requests read ahead are answered; nothing more is read ahead
-	keptForUnread       int  // times that it was kept open for an unread request
+	keptForUnread       int  // times that the connection was kept open for a request not read yet
 }
 
 // evictionRank returns the order in which connections are closed to make room, lowest first.
@@ -52,11 +52,11 @@
 	return 3
 }
 
-// markWaiting moves a connection to the end of the waiting list: the client is to send a request.
+// markWaiting moves a connection to the end of the waiting list: the node now waits for the client's next request.
 func (c *clientConn) markWaiting() {
 	c.inFlight = false
 	c.lastActive, c.requestStartedAt, c.headDeadline = time.Now(), time.Time{}, time.Time{}
-	if c.scanner.lineLength > 0 { // net/http has already read one byte of it
+	if c.scanner.lineLength > 0 { // net/http has already read the first byte of that request
 		c.requestStartedAt = c.lastActive
 	}
 	if c.waitingElement == nil {
@@ -67,7 +67,7 @@
 }
 
 // deliver decides how many bytes of p go to net/http now, and returns their number; arrivedAt gives the arrival time of
-// the n-th byte. Once a head or a body is complete, the node has to act next and the client isn't waited for any more.
+// the n-th byte. Once a head or a body is complete, the node no longer waits for the client.
 func (c *clientConn) deliver(p []byte, arrivedAt func(n int) time.Time) int {
 	if c.waitingElement != nil {
 		c.lastActive = time.Now()
@@ -83,7 +83,7 @@
 	if c.scanner.headCount != heads || body > 0 && c.scanner.bodyLeft == 0 {
 		c.inFlight = true
 		c.headDeadline = time.Time{}
-		c.removeWaiting() // now, since the handler might only run after the connection was evicted for another
+		c.removeWaiting() // now, or the connection might be evicted before the handler runs
 	}
 	return n
 }
@@ -91,7 +91,7 @@
 // setHeadDeadline limits the time for the rest of a head whose first byte arrived at the given time. On a reused
 // connection net/http starts its timeout only at the fourth byte; with fewer it waits as long as for a new request.
 func (c *clientConn) setHeadDeadline(first time.Time) {
-	if !c.served {
+	if !c.answered {
 		return
 	}
 	c.headDeadline = first.Add(headerTimeout)
@@ -108,7 +108,7 @@
 	if !c.headDeadline.IsZero() && (t.IsZero() || t.After(c.headDeadline)) {
 		t = c.headDeadline
 	}
-	if !t.IsZero() && t.Before(time.Now()) { // the reader is to stop
+	if !t.IsZero() && t.Before(time.Now()) { // a past deadline interrupts the reader
 		c.endChunkedRead()
 	}
 	return c.TCPConn.SetReadDeadline(t)
@@ -153,7 +153,7 @@
 func (c *clientConn) markAnswered() {
 	if c != nil {
 		c.owner.mu.Lock()
-		c.served = true
+		c.answered = true
 		c.owner.mu.Unlock()
 	}
 }
@@ -162,7 +162,7 @@
 // reset, which may discard the response. So Close waits a limited time for the client to close its side.
 func (c *clientConn) Close() error {
 	c.owner.mu.Lock()
-	lingers := c.served && !c.unregistered && !c.owner.noLinger
+	lingers := c.answered && !c.unregistered && !c.owner.noLinger
 	c.owner.mu.Unlock()
 	if lingers && c.CloseWrite() == nil {
 		_ = c.SetReadDeadline(time.Now().Add(c.owner.lingerTime))
@@ -171,14 +171,13 @@
 	return c.TCPConn.Close()
 }
 
-// tryClose takes a waiting connection out of service, for the caller to close after unlocking the mutex. It refuses if
-// data has arrived that nobody has read: a request that met the close would be lost without an answer. Data that
-// arrives after tryClose isn't read.
-func (c *clientConn) tryClose() bool {
+// tryUnregister unregisters a waiting connection, which the caller closes after unlocking the mutex. It refuses if data has
+// arrived that hasn't been read, since a request might be lost without an answer. Data that arrives later isn't read.
+func (c *clientConn) tryUnregister() bool {
 	denied := invariant.MayClose(invariant.Connection{RequestOpen: c.inFlight, ReadAhead: len(c.readAhead.bytes),
 		UnreadBytes: !isIdle(c.TCPConn)})
 	if denied != invariant.None {
-		c.owner.monitor.Deny(denied)
+		c.owner.monitor.RecordDenial(denied)
 		return false
 	}
 	c.unregister()
@@ -186,7 +185,8 @@
 }
 
 // Read also records when a request begins, which net/http reports only after the complete head. It reads from the socket
-// under the owner's mutex, so that no data is in transit while the owner looks for idle connections.
+// under the owner's mutex, so that when the owner looks for idle connections, all received data is either still in the
+// socket or recorded here.
 func (c *clientConn) Read(p []byte) (n int, err error) {
 	c.awaitChunkedEnd(p)
 	if n = c.takeReadAhead(p); n > 0 || len(p) == 0 {
@@ -197,7 +197,7 @@
 		if !syserr.Retryable(err) {
 			return n, err
 		}
-		time.Sleep(ioRetryPause) // a temporary shortage of the system; the client is still connected
+		time.Sleep(ioRetryPause) // a temporary lack of system resources; the client is still connected
 	}
 }
 
@@ -207,7 +207,7 @@
 		c.owner.mu.Lock()
 		defer c.owner.mu.Unlock()
 		if denied := invariant.MayRead(c.unregistered); denied != invariant.None {
-			c.owner.monitor.Deny(denied)
+			c.owner.monitor.RecordDenial(denied)
 			err = net.ErrClosed
 			return true
 		}
@@ -234,9 +234,9 @@
 // maxChunkedEndWait limits the wait in awaitChunkedEnd: net/http may also read a single byte just to fill its buffer.
 const maxChunkedEndWait = 100 * time.Millisecond
 
-// awaitChunkedEnd delays a one-byte read until the end of a chunked body has been recorded. At that end net/http starts
-// its background read, which watches for a disconnect, before the node learns of it; the byte that it reads would be
-// taken from the next request's head.
+// awaitChunkedEnd delays a one-byte read until the end of a chunked body has been recorded. At that end, before the node
+// learns of it, net/http starts its background read, which reads one byte to detect a disconnect; that byte would be the
+// first of the next request's head.
 func (c *clientConn) awaitChunkedEnd(p []byte) {
 	if len(p) != 1 {
 		return
@@ -306,7 +306,7 @@
 	if c.readAheadFullSince.IsZero() {
 		c.readAheadFullSince = time.Now()
 	}
-	if peerClosed(fd) { // data sent before the end comes ahead of it in the socket
+	if peerClosed(fd) { // true even if data sent before the end is still unread
 		return io.EOF
 	}
 	return nil
@@ -318,8 +318,8 @@
 const (
 	clientPresent clientPresence = iota
 	clientDeparted
-	// presenceUnknown means that the read-ahead buffer is full, with so much unread data behind it that the client's
-	// end of stream may not have fit into the socket buffer.
+	// presenceUnknown means that the read-ahead buffer is full and so much data is unread in the socket that the client's
+	// FIN may not fit into the socket buffer.
 	presenceUnknown
 )
 
@@ -339,7 +339,7 @@
 		case !c.inFlight:
 		case isDisconnect(c.fillReadAhead(int(fd))):
 			result = clientDeparted
-		case !c.readAheadFullSince.IsZero() && unreadBytes(int(fd)) >= minHidingBytes:
+		case !c.readAheadFullSince.IsZero() && unreadBytes(int(fd)) >= minUnreadHidingFIN:
 			result = presenceUnknown
 		}
 	})
@@ -405,7 +405,7 @@
 	return c.lastArrival
 }
 
-// violations returns those of the current request's head.
+// violations returns the violations in the current request's head.
 func (c *clientConn) violations() headViolations {
 	c.owner.mu.Lock()
 	defer c.owner.mu.Unlock()
@@ -427,7 +427,7 @@
 	return c.requestStartedAt
 }
 
-// stateChanged follows the connection's state in net/http.
+// stateChanged is called when net/http changes the connection's state.
 func (c *clientConn) stateChanged(state http.ConnState) {
 	l := c.owner
 	l.mu.Lock()
--- a/internal/node/client_request.go
+++ b/internal/node/client_request.go
@@ -35,15 +35,15 @@
 	handlerTimer *time.Timer  // fires when the handler answers instead of the loop; nil: never
 }
 
-// requestState tells whether a request is open, and what ended it. Whoever moves it out of the open states answers the
-// client, and nobody else does. It is a single word, so that the start of an attempt and a refusal that promises that no
-// attempt was made exclude each other.
+// requestState is whether a request is open, and if not, what ended it. The goroutine that moves it out of the open states
+// answers the client; no other does. The state is a single atomic value, so that the start of an attempt and a refusal
+// that promises that no attempt was made exclude each other.
 type requestState int32
 
 const (
 	requestOpen       requestState = iota // no attempt has begun
 	requestAttempted                      // open; an attempt may have begun
-	answeredByLoop                        // or about to be
+	answeredByLoop                        // the loop has answered or is about to
 	refusedByHandler                      // instead of the loop; no attempt has begun or will begin
 	timedOutByHandler                     // instead of the loop; an attempt may have begun
 	clientLeft                            // no answer is due
@@ -52,7 +52,7 @@
 // isOpen reports whether the request hasn't ended.
 func (s requestState) isOpen() bool { return s == requestOpen || s == requestAttempted }
 
-// init prepares a request for the loop.
+// setUp prepares a request for the loop.
 func (x *clientRequest) setUp() {
 	x.reply = make(chan answer, 1)
 	x.ctx, x.cancel = context.WithCancel(context.Background())
@@ -111,7 +111,7 @@
 	return nodeRefusal()
 }
 
-// margin returns how long before the client stops waiting the request's deadline is.
+// margin returns the time from the request's deadline until the client stops waiting.
 func (x *clientRequest) margin() time.Duration {
 	return min(answerMargin, x.clientTimeout/answerMarginDivisor)
 }
--- a/internal/node/clients.go
+++ b/internal/node/clients.go
@@ -14,22 +14,22 @@
 // connections open don't lock out others.
 type clientListener struct {
 	net.Listener
-	spareSockets func() int    // file descriptors that the server side can lend beyond baseLimit; nil: none
-	lingerTime   time.Duration // how long Close waits for the client to close its side
-	monitor      *invariant.Monitor
-	metrics      *metrics
+	spareDescriptors func() int    // file descriptors that clients may borrow from the server side, beyond baseLimit; nil: none
+	lingerTime       time.Duration // how long Close waits for the client to close its side
+	monitor          *invariant.Monitor
+	metrics          *metrics
 
 	mu        sync.Mutex
 	changed   sync.Cond
 	baseLimit int
 	open      int
-	waiting   linked.List // of the *clientConn that are to send a request or the rest of one; longest silent first
+	waiting   linked.List // of the *clientConn that are to send a request or the rest of one; least recently active first
 	evicted   int         // closed to make room since the last summary
 	closed    bool
 	noLinger  bool // close connections without waiting for their clients
 }
 
-func newClients(l net.Listener, baseLimit int) *clientListener {
+func newClientListener(l net.Listener, baseLimit int) *clientListener {
 	c := &clientListener{Listener: l, baseLimit: baseLimit, lingerTime: lingerTimeout, monitor: new(invariant.Monitor), metrics: newMetrics()}
 	c.changed.L = &c.mu
 	return c
@@ -56,13 +56,13 @@
 
 // limit returns the current maximum number of connections.
 func (l *clientListener) limit() int {
-	if l.spareSockets == nil {
+	if l.spareDescriptors == nil {
 		return l.baseLimit
 	}
-	return l.baseLimit + max(0, l.spareSockets())
+	return l.baseLimit + max(0, l.spareDescriptors())
 }
 
-// reclaim returns a lent file descriptor to the server side if a client connection can be closed for it.
+// reclaim closes a client connection to return a borrowed file descriptor to the server side, and reports whether it did.
 func (l *clientListener) reclaim() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -94,15 +94,15 @@
 // evict closes the waiting connection whose loss costs its client least, if there is one. A connection without a request
 // is simply reopened. A partial request is lost, but one that stopped right after it began most likely never completes,
 // while one whose data keeps arriving does. Connections that are new, or were active within freshConnPeriod, are spared
-// if others can be closed. Within a rank, the longest silent is closed.
+// if others can be closed. Within a rank, the least recently active is closed.
 func (l *clientListener) evict() bool {
 	const ranks = 4
 	freshSince := time.Now().Add(-freshConnPeriod)
 	for rank := range ranks {
 		for e := l.waiting.Front(); e != nil; e = e.Next() {
-			if c := e.Value.(*clientConn); c.evictionRank(freshSince) == rank && c.tryClose() {
+			if c := e.Value.(*clientConn); c.evictionRank(freshSince) == rank && c.tryUnregister() {
 				l.evicted++
-				l.closeAll(closedToMakeRoom, c)
+				l.closeAll(closedEvicted, c)
 				return true
 			}
 		}
@@ -110,8 +110,8 @@
 	return false
 }
 
-// closeAll closes connections that were unregistered. It unlocks the mutex meanwhile, because a reader may wait for the
-// mutex, and Close for the reader.
+// closeAll closes connections that were unregistered. It unlocks the mutex meanwhile, because Close waits for a reader,
+// which may be waiting for the mutex.
 func (l *clientListener) closeAll(reason string, conns ...*clientConn) {
 	l.metrics.clientConnsClosed.WithLabelValues(reason).Add(float64(len(conns)))
 	l.mu.Unlock()
@@ -121,16 +121,16 @@
 	}
 }
 
-// closeIdle closes connections that have had no request for closeIdleAfter. Those that are new, or have just had their
-// response, may be about to send a request.
+// closeIdle closes connections that have had no request for closeIdleAfter. Clients that have just connected
+// or received a response may be about to send a request.
 func (l *clientListener) closeIdle(now time.Time) {
-	l.closeWithoutRequest(now, closeIdleAfter, closedSentAway, func(*clientConn) bool { return true })
+	l.closeWithoutRequest(now, closeIdleAfter, closedDraining, func(*clientConn) bool { return true })
 }
 
 // closeExpired closes connections that have reached the idle timeout. net/http would do so without checking for data
 // that has just arrived.
 func (l *clientListener) closeExpired(now time.Time) {
-	l.closeWithoutRequest(now, clientIdleTimeout, closedIdle, func(c *clientConn) bool { return c.served })
+	l.closeWithoutRequest(now, clientIdleTimeout, closedIdle, func(c *clientConn) bool { return c.answered })
 }
 
 // closeWithoutRequest closes connections that have had no request for the given time and are eligible.
@@ -143,7 +143,7 @@
 		if now.Sub(c.lastActive) < after {
 			break // the list is ordered: the others have been idle for less
 		}
-		if e = e.Next(); eligible(c) && c.requestStartedAt.IsZero() && c.tryClose() {
+		if e = e.Next(); eligible(c) && c.requestStartedAt.IsZero() && c.tryUnregister() {
 			conns = append(conns, c)
 		}
 	}
--- a/internal/node/clients_test.go
+++ b/internal/node/clients_test.go
@@ -17,7 +17,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	l = newClients(ln, limit)
+	l = newClientListener(ln, limit)
 	t.Cleanup(func() { l.Close() })
 	return l, func() (net.Conn, *clientConn) {
 		client, err := net.Dial("tcp", ln.Addr().String())
@@ -135,7 +135,7 @@
 func TestFreeDescriptorsAreLent(t *testing.T) {
 	l, dial := testClientListener(t, 2)
 	u := newUpstream(testConfig(t, memberListJSON()), 4)
-	l.spareSockets, u.borrowed, u.reclaim = u.available, l.borrowed, l.reclaim
+	l.spareDescriptors, u.borrowed, u.reclaim = u.spareDescriptors, l.borrowed, l.reclaim
 	var conns []*clientConn
 	for range 4 {
 		_, conn := dial()
@@ -147,7 +147,7 @@
 	open := func() bool {
 		u.mu.Lock()
 		defer u.mu.Unlock()
-		ok := u.makeRoom()
+		ok := u.ensureDescriptor()
 		if ok {
 			u.addOpen(1)
 		}
@@ -173,7 +173,7 @@
 func TestBorrowedDescriptorsInUseAreNotReclaimed(t *testing.T) {
 	l, dial := testClientListener(t, 1)
 	u := newUpstream(testConfig(t, memberListJSON()), 2)
-	l.spareSockets, u.borrowed, u.reclaim = u.available, l.borrowed, l.reclaim
+	l.spareDescriptors, u.borrowed, u.reclaim = u.spareDescriptors, l.borrowed, l.reclaim
 	for i := range 2 {
 		client, conn := dial()
 		sendAndRead(t, client, conn, fmt.Sprintf("GET /%d HTTP/1.1\r\nHost: a\r\n\r\n", i))
@@ -181,7 +181,7 @@
 	}
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	if u.addOpen(1); u.makeRoom() || l.openCount() != 2 {
+	if u.addOpen(1); u.ensureDescriptor() || l.openCount() != 2 {
 		t.Errorf("%d clients open, want both", l.openCount())
 	}
 }
--- a/internal/node/config.go
+++ b/internal/node/config.go
@@ -55,7 +55,8 @@
 // of the new one: a longer text would exhaust the memory.
 const listSizeDivisor = 4
 
-// minSockets is the minimum that a node can work with: a few for itself, and some for each side.
+// minSockets is the least number of file descriptors that a node can work with: a few for itself, and some each for
+// clients and servers.
 const minSockets = 64
 
 // defaultConnectTimeout applies if the settings don't set connectTimeout.
@@ -68,12 +69,12 @@
 	if err != nil {
 		return Config{}, err
 	}
-	for name, field := range map[string]*string{
+	for name, target := range map[string]*string{
 		"ROUTER_NAME": &c.Name, "ROUTER_LISTEN": &c.Listen, "ROUTER_DISCOVERY": &c.Discovery,
 		"ROUTER_OPERATOR": &c.Operator,
 	} {
 		if v := getenv(name); v != "" {
-			*field = v
+			*target = v
 		}
 	}
 	if err := field.CheckAddress(c.Listen); err != nil {
@@ -138,7 +139,7 @@
 		Sockets  int     `json:"sockets"`
 	}
 	var known, settings bool
-	var hostSettings []byte // the settings that wire.DecodeSettings leaves
+	var nodeSettings []byte // the text of the settings that wire.DecodeSettings doesn't decode
 	decoder := json.NewDecoder(file)
 	err := field.DecodeObject(decoder, func(key string) (err error) {
 		switch strings.ToLower(key) { // case-insensitive, as in json.Unmarshal
@@ -162,7 +163,7 @@
 			return nil
 		case "settings":
 			settings = true
-			if c.Settings, hostSettings, err = wire.DecodeSettings(decoder); err != nil {
+			if c.Settings, nodeSettings, err = wire.DecodeSettings(decoder); err != nil {
 				return fmt.Errorf("settings.%w", err)
 			}
 			return nil
@@ -194,21 +195,21 @@
 	if err := c.Settings.Validate(); err != nil {
 		return Config{}, fmt.Errorf("settings: %w", err)
 	}
-	if err := decodeNodeLimits(hostSettings, &c); err != nil {
+	if err := decodeNodeLimits(nodeSettings, &c); err != nil {
 		return Config{}, err
 	}
 	return c, nil
 }
 
-// decodeNodeLimits decodes the settings that the module leaves to its host.
-func decodeNodeLimits(hostSettings []byte, c *Config) error {
+// decodeNodeLimits decodes the settings that apply to the node and not to the module.
+func decodeNodeLimits(nodeSettings []byte, c *Config) error {
 	var s struct {
 		Limits struct {
 			MaxOpen        float64 `json:"maxOpen"`
 			ConnectTimeout float64 `json:"connectTimeout"`
 		} `json:"limits"`
 	}
-	if err := field.Unmarshal(hostSettings, &s); err != nil {
+	if err := field.Unmarshal(nodeSettings, &s); err != nil {
 		return fmt.Errorf("settings.%w", err)
 	}
 	switch l := s.Limits; {
--- a/internal/node/crossings_test.go
+++ b/internal/node/crossings_test.go
@@ -77,12 +77,12 @@
 	}
 }
 
-// Data that arrives after tryClose has succeeded is not read, even before the connection is actually closed.
+// Data that arrives after tryUnregister has succeeded is not read, even before the connection is actually closed.
 func TestNothingIsReadAfterTryClose(t *testing.T) {
 	l, dial := testClientListener(t, 10)
 	client, conn := dial()
 	l.mu.Lock()
-	if !conn.tryClose() {
+	if !conn.tryUnregister() {
 		t.Fatal("tryClose failed for an idle connection")
 	}
 	l.mu.Unlock()
@@ -154,7 +154,7 @@
 		defer s.lifecycle.stopDraining()
 		acceptResult, ended := make(chan error), make(chan struct{})
 		go func() {
-			s.drain(c, newClients(blockingListener{make(chan struct{})}, 10), acceptResult, false)
+			s.drain(c, newClientListener(blockingListener{make(chan struct{})}, 10), acceptResult, false)
 			close(ended)
 		}()
 		time.Sleep(time.Hour)
@@ -188,7 +188,7 @@
 			s := newServer(c, l)
 			defer s.lifecycle.stopDraining()
 			listener := blockingListener{make(chan struct{})}
-			clients := newClients(listener, 10)
+			clients := newClientListener(listener, 10)
 			clients.open = 1 // one that never closes
 			acceptResult, start, ended := make(chan error, 1), time.Now(), make(chan struct{})
 			acceptResult <- http.ErrServerClosed
--- a/internal/node/departures_test.go
+++ b/internal/node/departures_test.go
@@ -32,7 +32,7 @@
 		t.Fatal(err)
 	}
 	served := make(chan error, 1)
-	listener = newClients(ln, 100)
+	listener = newClientListener(ln, 100)
 	go func() { served <- s.http.Serve(listener) }()
 	t.Cleanup(func() {
 		listener.stopLingering()
--- a/internal/node/events.go
+++ b/internal/node/events.go
@@ -11,7 +11,7 @@
 type priority int
 
 const (
-	// controlPriority is for list news, departures of clients and events of the process itself.
+	// controlPriority is for list updates, departures of clients and events of the process itself.
 	controlPriority priority = iota
 	// outcomePriority is for the outcomes of attempts.
 	outcomePriority
@@ -48,12 +48,12 @@
 	return "other"
 }
 
-// receivedUpdate is discovery news with its sequence number, which grows with each receipt. A list that was known at the
-// start or taken over from another process has 0.
+// receivedUpdate is an update from discovery with a sequence number in the order of receipt. A list that was known at the
+// start or taken over from another process has sequence number 0.
 type receivedUpdate struct {
 	discovery.Update
 	sequence   uint64
-	receivedAt time.Time // when this process received it; zero: it came from no discovery server
+	receivedAt time.Time // when this process received it; zero: not received from a discovery server
 }
 
 // timerDue represents the decision module's timers in the event metrics.
--- a/internal/node/final_answers.go
+++ b/internal/node/final_answers.go
@@ -10,10 +10,12 @@
 	"cobaltward/policy"
 )
 
+// refuse answers that the request isn't served, and when to retry if wait is given. If an earlier attempt may have had an
+// effect, a refusal would promise too much, and the client gets a 502.
 func (l *loop) refuse(r *request, wait time.Duration, why string) {
 	class := l.classes[r.req.Class]
 	if denied := invariant.MayRefuse(class.Repeat, class.Group, l.priorAttempts(r, class, "")); denied != invariant.None {
-		l.monitor.DenyUnexpected(denied, r.req.ID, "why", why, "attempts", r.history())
+		l.monitor.RecordUnexpectedDenial(denied, r.req.ID, "why", why, "attempts", r.history())
 		l.answer(r, answer{status: http.StatusBadGateway}, why)
 		l.dropIfDone(r)
 		return
@@ -26,7 +28,7 @@
 	l.dropIfDone(r)
 }
 
-// answer sends the client its only answer; later answers are dropped. by tells the log what ended the request.
+// answer sends the client its only answer; later answers are dropped. by is logged as what ended the request.
 func (l *loop) answer(r *request, a answer, by string) {
 	if r.ended {
 		return
@@ -34,19 +36,19 @@
 	l.markEnded(r)
 	if !r.claim(answeredByLoop) { // the handler answered first, and its event has not been handled yet
 		a.discard()
-		l.traceHandlerEnd(r)
+		l.recordHandlerEnd(r)
 		return
 	}
 	now := l.clock.now()
 	if broken := invariant.CheckAnswerTime(now, r.deadline+r.margin()); broken != invariant.None {
-		l.monitor.Violation(broken, r.req.ID, "after", now-r.arrivedAt, "waits", r.clientTimeout, "by", by)
+		l.monitor.RecordViolation(broken, r.req.ID, "after", now-r.arrivedAt, "waits", r.clientTimeout, "by", by)
 	}
 	l.requestLog.recordEnd(now, r, a, by)
 	r.reply <- a
 }
 
-// traceHandlerEnd traces the end of a request that its handler has ended.
-func (l *loop) traceHandlerEnd(r *request) {
+// recordHandlerEnd records the end of a request that its handler has ended.
+func (l *loop) recordHandlerEnd(r *request) {
 	if r.currentState() == clientLeft {
 		l.requestLog.recordEnd(l.clock.now(), r, answer{}, "client left")
 		return
@@ -63,8 +65,8 @@
 	l.answerForModule(ctx, r, answer{status: status}, by)
 }
 
-// stop ends an open request when the process ends. A request that was never attempted is refused.
-func (l *loop) stop(ctx context.Context, r *request) {
+// stopRequest ends an open request when the process ends. A request that was never attempted is refused.
+func (l *loop) stopRequest(ctx context.Context, r *request) {
 	a := answer{status: http.StatusBadGateway}
 	if r.currentState() == requestOpen { // only the loop begins attempts
 		a = nodeRefusal()
@@ -83,8 +85,8 @@
 func (l *loop) markEnded(r *request) {
 	r.ended = true
 	l.unanswered--
-	if r.deadlineTimer.index >= 0 { // otherwise the timer would keep the request in memory until a deadline that may be far off
-		heap.Remove(&l.timers, r.deadlineTimer.index)
+	if r.deadlineTimer.heapPosition >= 0 { // otherwise the timer would keep the request in memory until a deadline that may be far off
+		heap.Remove(&l.timers, r.deadlineTimer.heapPosition)
 	}
 }
 
--- a/internal/node/handover.go
+++ b/internal/node/handover.go
@@ -19,28 +19,29 @@
 )
 
 const (
-	handoverVersion    = 1
-	snapshotInterval   = 250 * time.Millisecond // between writes of the snapshot for a successor
-	snapshotCostFactor = 50                     // times the duration of a write, as the least time between writes
-	maxSnapshotAge     = 3 * time.Second        // a snapshot that is older is ignored
-	followInterval     = 50 * time.Millisecond  // between checks of the other process while there are two
-	maxSnapshotSize    = 4 << 20                // bytes of a snapshot
-	minConnsPerSide    = 8                      // connections that a process always has on each side
-	lockSuffix         = ".lock"
-	stateSuffix        = ".state"
-	standbySuffix      = ".standby" // exists while its process is in standby
-	tempSuffix         = ".new"     // of a file that is incomplete
-	handoverPrefix     = "wayhold-"
+	handoverVersion      = 1
+	snapshotInterval     = 250 * time.Millisecond // between writes of the snapshot for a successor
+	snapshotCostFactor   = 50                     // the time between writes is at least this many times the duration of one
+	maxSnapshotAge       = 3 * time.Second        // a snapshot that is older is ignored
+	processCheckInterval = 50 * time.Millisecond  // between checks for the node's other process
+	maxSnapshotSize      = 4 << 20                // bytes of a snapshot
+	minConnsPerSide      = 8                      // least limit of client connections, and of server connections
+	lockSuffix           = ".lock"
+	stateSuffix          = ".state"
+	standbySuffix        = ".standby" // exists while its process is in standby
+	tempSuffix           = ".new"     // of a file that is incomplete
+	handoverPrefix       = "wayhold-"
 
-	// Joining may fail for a while, because of the folder or of a lack of file descriptors.
+	// Joining the folder may fail for a while, because of the file system or a lack of file descriptors.
 	joinTimeout    = 2 * time.Second // of the 6 s in which a new process must be ready
 	minFolderPause = 5 * time.Millisecond
 	maxFolderPause = 100 * time.Millisecond
 )
 
 // handover is what the two processes of a node share during an upgrade, in a folder that both can access. Each process
-// holds a lock on a file for as long as it runs, so that neither a crash nor a reused number makes a dead process look
-// alive. The later process has the greater number. Beside the lock file is the snapshot for a successor.
+// holds a lock on a file for as long as it runs: the kernel releases it after a crash too, and unlike a process id it can't
+// be taken over by an unrelated process. The later process has the greater id. Beside the lock file is the snapshot for
+// a successor.
 type handover struct {
 	dir            string
 	id             int64
@@ -50,13 +51,13 @@
 
 	mu             sync.Mutex
 	standby        bool // as last set by operators
-	standbyWritten bool // the standby file matches standby
+	standbyWritten bool // the standby file agrees with standby
 	standbyWarned  bool // a failure to write the standby file was logged
 }
 
 // join enters the folder, and removes the files of dead processes.
 func join(dir string) (*handover, error) {
-	ids, err := livingProcesses(dir)
+	ids, err := runningProcesses(dir)
 	if err != nil {
 		return nil, err
 	}
@@ -103,9 +104,9 @@
 	return filepath.Join(h.dir, handoverPrefix+strconv.FormatInt(id, 10)+suffix)
 }
 
-// livingProcesses returns the processes whose locks are held, and removes the files of the others. It returns an error if
-// it can't check them all; no process counts as dead because of that.
-func livingProcesses(dir string) (ids []int64, err error) {
+// runningProcesses returns the ids of the processes whose locks are held, and removes the files of the others. It returns
+// an error if it can't check them all; a process that can't be checked isn't taken for dead.
+func runningProcesses(dir string) (ids []int64, err error) {
 	if err := faultpoint.Fail(faultpoint.Folder); err != nil {
 		return nil, err
 	}
@@ -114,10 +115,10 @@
 		return nil, err
 	}
 	for _, entry := range entries {
-		base, locked := strings.CutSuffix(entry.Name(), lockSuffix)
-		number, ours := strings.CutPrefix(base, handoverPrefix)
+		base, isLock := strings.CutSuffix(entry.Name(), lockSuffix)
+		number, prefixed := strings.CutPrefix(base, handoverPrefix)
 		id, err := strconv.ParseInt(number, 10, 64)
-		if !locked || !ours || err != nil || id <= 0 {
+		if !isLock || !prefixed || err != nil || id <= 0 {
 			continue
 		}
 		name := filepath.Join(dir, base)
@@ -136,7 +137,7 @@
 	return ids, nil
 }
 
-// lockHeld reports whether a running process holds the lock on the named file; an error means that this is unknown.
+// lockHeld reports whether a running process holds the lock on the prefixed file; an error means that this is unknown.
 func lockHeld(name string) (bool, error) {
 	f, err := os.Open(name)
 	if errors.Is(err, os.ErrNotExist) {
@@ -155,7 +156,7 @@
 
 // hasSuccessor reports whether a later process is running; if that can't be checked now, it returns the last result.
 func (h *handover) hasSuccessor() bool {
-	ids, err := livingProcesses(h.dir)
+	ids, err := runningProcesses(h.dir)
 	if err != nil {
 		return h.successorAlive.Load()
 	}
@@ -186,8 +187,8 @@
 	h.lock.Close()
 }
 
-// recordStandby writes the standby state for a successor at once, before operators are told that it is done: the snapshot
-// is written only periodically, and a new process may be started in between.
+// recordStandby writes the standby state for a successor at once, before the operator's call returns: the snapshot is
+// written only periodically, and a new process may be started in between.
 func (h *handover) recordStandby(on bool) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -206,8 +207,8 @@
 
 func (h *handover) writeStandby() {
 	name, err := h.path(h.id, standbySuffix), error(nil)
-	if failed := faultpoint.Fail(faultpoint.Folder); failed != nil {
-		err = failed
+	if injected := faultpoint.Fail(faultpoint.Folder); injected != nil {
+		err = injected
 	} else if h.standby {
 		err = os.WriteFile(name, nil, 0o600)
 	} else if err = os.Remove(name); errors.Is(err, os.ErrNotExist) {
--- a/internal/node/handover_faults_test.go
+++ b/internal/node/handover_faults_test.go
@@ -62,7 +62,7 @@
 		if !next.predecessorAlive() {
 			t.Error("the new process counts the old one as dead")
 		}
-		if _, err := livingProcesses(dir); err == nil {
+		if _, err := runningProcesses(dir); err == nil {
 			t.Error("livingProcesses succeeded without descriptors")
 		}
 	})
@@ -140,7 +140,7 @@
 	defer life.stopDraining()
 	life.markServersKnown()
 	life.enterStandby()
-	limits := &sharedLimits{loop: l, lifecycle: life, clients: newClients(nil, 100), upstream: l.upstream, clientSockets: 100, serverSockets: 150}
+	limits := &sharedLimits{loop: l, lifecycle: life, clients: newClientListener(nil, 100), upstream: l.upstream, clientSockets: 100, serverSockets: 150}
 	ctx, cancel := context.WithCancel(t.Context())
 	ended := make(chan struct{})
 	var joined atomic.Pointer[handover]
--- a/internal/node/handover_test.go
+++ b/internal/node/handover_test.go
@@ -252,14 +252,14 @@
 		}
 		t.Cleanup(func() { ln.Close() })
 		l, _ := startLoop(t, "127.0.0.1:9", func(policy.Time, policy.Event) []policy.Action { return nil })
-		return &sharedLimits{handover: h, loop: l, lifecycle: new(lifecycle), clients: newClients(ln, 100), upstream: l.upstream,
+		return &sharedLimits{handover: h, loop: l, lifecycle: new(lifecycle), clients: newClientListener(ln, 100), upstream: l.upstream,
 			clientSockets: 100, serverSockets: 150, reservedSockets: 30}
 	}
 	check := func(when string, all ...*sharedLimits) {
 		t.Helper()
 		sum := 0
 		for _, s := range all {
-			sum += s.clients.currentBaseLimit() + s.upstream.openLimit() + s.reservedSockets
+			sum += s.clients.currentBaseLimit() + s.upstream.openConnLimit() + s.reservedSockets
 		}
 		if sum > 100+150+30 {
 			t.Errorf("%s: %d descriptors, want 280 at most", when, sum)
@@ -268,8 +268,8 @@
 	old := process()
 	old.step(now)
 	check("alone", old)
-	if old.clients.currentBaseLimit() != 100 || old.upstream.openLimit() != 150 {
-		t.Errorf("alone: %d and %d, want 100 and 150", old.clients.currentBaseLimit(), old.upstream.openLimit())
+	if old.clients.currentBaseLimit() != 100 || old.upstream.openConnLimit() != 150 {
+		t.Errorf("alone: %d and %d, want 100 and 150", old.clients.currentBaseLimit(), old.upstream.openConnLimit())
 	}
 	next := process()
 	old.step(now)
@@ -285,8 +285,8 @@
 	}
 	old.leave()
 	next.step(now)
-	if next.clients.currentBaseLimit() != 100 || next.upstream.openLimit() != 150 {
-		t.Errorf("alone again: %d and %d, want 100 and 150", next.clients.currentBaseLimit(), next.upstream.openLimit())
+	if next.clients.currentBaseLimit() != 100 || next.upstream.openConnLimit() != 150 {
+		t.Errorf("alone again: %d and %d, want 100 and 150", next.clients.currentBaseLimit(), next.upstream.openConnLimit())
 	}
 	next.leave()
 }
@@ -318,7 +318,7 @@
 		}
 		return nil
 	})
-	next := &sharedLimits{handover: second, loop: l, lifecycle: new(lifecycle), clients: newClients(ln, 100), upstream: l.upstream,
+	next := &sharedLimits{handover: second, loop: l, lifecycle: new(lifecycle), clients: newClientListener(ln, 100), upstream: l.upstream,
 		clientSockets: 100, serverSockets: 150, reservedSockets: 30}
 	now := time.Now()
 	receiveList := func(revision int64, phase policy.Availability) {
--- a/internal/node/head.go
+++ b/internal/node/head.go
@@ -3,14 +3,14 @@
 // headScanner scans the bytes of a client's connection on their way to net/http for request heads that a server might
 // interpret differently: net/http drops a Content-Length beside a Transfer-Encoding, and accepts a bare line feed as the
 // end of a line. It parses nothing else of a request, and delivers at most one head at a time, so its findings belong to
-// the current request. It is told the length of each body. Behind a body whose end is unknown it recognizes no further
-// heads, and no further request may be served.
+// the current request. expectBody gives it the length of each body. Behind a body whose end is unknown it recognizes no
+// further heads, and no further request may be served.
 type headScanner struct {
 	bodyLeft   int64 // bytes of the body still to come; or one of the constants below
 	chunked    chunkedScanner
 	current    headViolations
 	violations headViolations // of the last head that was delivered completely
-	headCount  int            // delivered completely
+	headCount  int            // number of heads delivered completely
 	started    bool           // a line of the next head has arrived; net/http skips empty lines before a head
 
 	lineLength int // bytes of the current line so far
@@ -37,107 +37,107 @@
 }
 
 // scan returns how many of the bytes may be delivered together.
-func (w *chunkedScanner) scan(p []byte) int {
+func (s *chunkedScanner) scan(p []byte) int {
 	for i, c := range p {
 		switch {
-		case w.lastChunk:
+		case s.lastChunk:
 			return max(1, i)
-		case w.inLine:
-			w.inLine = c != '\n'
+		case s.inLine:
+			s.inLine = c != '\n'
 		case c == '0':
-			w.zeroLine = true
+			s.zeroLine = true
 			if i > 0 {
-				w.zeroLine = false // the zero is scanned again
+				s.zeroLine = false // the zero is scanned again
 				return i
 			}
 			return 1
-		case w.zeroLine && (c == '\r' || c == '\n' || c == ';' || c == ' ' || c == '\t'):
-			w.lastChunk = true
+		case s.zeroLine && (c == '\r' || c == '\n' || c == ';' || c == ' ' || c == '\t'):
+			s.lastChunk = true
 			return 1
 		default:
-			w.zeroLine, w.inLine = false, c != '\n'
+			s.zeroLine, s.inLine = false, c != '\n'
 		}
 	}
 	return len(p)
 }
 
 // expectBody prepares for a body of the given length, or for a chunked one if length is negative.
-func (w *headScanner) expectBody(length int64) {
-	if w.bodyLeft = length; length < 0 {
-		w.bodyLeft, w.chunked = chunkedBody, chunkedScanner{singleBytesLeft: maxSingleBytes}
+func (s *headScanner) expectBody(length int64) {
+	if s.bodyLeft = length; length < 0 {
+		s.bodyLeft, s.chunked = chunkedBody, chunkedScanner{singleBytesLeft: maxSingleBytes}
 	}
 }
 
 // endChunkedBody records that net/http has found the end of a chunked body: a head comes next.
-func (w *headScanner) endChunkedBody() {
-	if w.bodyLeft == chunkedBody {
-		w.bodyLeft = 0
+func (s *headScanner) endChunkedBody() {
+	if s.bodyLeft == chunkedBody {
+		s.bodyLeft = 0
 	}
 }
 
-// headViolations are what makes a head ambiguous.
+// headViolations records what may make a head ambiguous.
 type headViolations struct{ contentLength, transferEncoding, bareLF bool }
 
 // problem describes the violation for the client; empty if there is none.
-func (f headViolations) problem() string {
+func (v headViolations) problem() string {
 	switch {
-	case f.bareLF:
+	case v.bareLF:
 		return "a line of the head ends without a carriage return"
-	case f.contentLength && f.transferEncoding:
+	case v.contentLength && v.transferEncoding:
 		return "Content-Length beside Transfer-Encoding"
 	}
 	return ""
 }
 
-// scan returns how many of the bytes may be delivered now; those behind the end of a head or a body are passed again.
-func (w *headScanner) scan(p []byte) int {
+// scan returns how many of the bytes may be delivered now; the caller passes the rest again later.
+func (s *headScanner) scan(p []byte) int {
 	switch {
-	case w.bodyLeft == chunkedBody && w.chunked.singleBytesLeft > 0 && len(p) > 0:
-		n := w.chunked.scan(p)
+	case s.bodyLeft == chunkedBody && s.chunked.singleBytesLeft > 0 && len(p) > 0:
+		n := s.chunked.scan(p)
 		if n == 1 {
-			w.chunked.singleBytesLeft--
+			s.chunked.singleBytesLeft--
 		}
 		return n
-	case w.bodyLeft < 0:
-		w.bodyLeft = untrackedBody
+	case s.bodyLeft < 0:
+		s.bodyLeft = untrackedBody
 		return len(p)
-	case w.bodyLeft > 0:
-		n := int(min(int64(len(p)), w.bodyLeft))
-		w.bodyLeft -= int64(n)
+	case s.bodyLeft > 0:
+		n := int(min(int64(len(p)), s.bodyLeft))
+		s.bodyLeft -= int64(n)
 		return n
 	}
 	for i, c := range p {
 		if c != '\n' {
-			if w.lineLength < len(w.linePrefix) {
+			if s.lineLength < len(s.linePrefix) {
 				if 'A' <= c && c <= 'Z' {
 					c += 'a' - 'A'
 				}
-				w.linePrefix[w.lineLength] = c
+				s.linePrefix[s.lineLength] = c
 			}
-			w.lineLength, w.lastCR = w.lineLength+1, c == '\r'
+			s.lineLength, s.lastCR = s.lineLength+1, c == '\r'
 			continue
 		}
-		if w.endLine() {
+		if s.endLine() {
 			return i + 1
 		}
 	}
 	return len(p)
 }
 
-// endLine processes a complete line, and reports whether it ends the head.
-func (w *headScanner) endLine() bool {
-	field := string(w.linePrefix[:min(w.lineLength, len(w.linePrefix))])
-	w.current.bareLF = w.current.bareLF || !w.lastCR
-	w.current.contentLength = w.current.contentLength || hasPrefix(field, "content-length:")
-	w.current.transferEncoding = w.current.transferEncoding || hasPrefix(field, "transfer-encoding:")
-	empty := w.lineLength == 0 || w.lineLength == 1 && w.lastCR
-	w.lineLength, w.lastCR = 0, false
-	if !empty || !w.started {
-		w.started = w.started || !empty
+// endLine processes the end of a line, and reports whether it ends the head.
+func (s *headScanner) endLine() bool {
+	field := string(s.linePrefix[:min(s.lineLength, len(s.linePrefix))])
+	s.current.bareLF = s.current.bareLF || !s.lastCR
+	s.current.contentLength = s.current.contentLength || hasPrefix(field, "content-length:")
+	s.current.transferEncoding = s.current.transferEncoding || hasPrefix(field, "transfer-encoding:")
+	empty := s.lineLength == 0 || s.lineLength == 1 && s.lastCR
+	s.lineLength, s.lastCR = 0, false
+	if !empty || !s.started {
+		s.started = s.started || !empty
 		return false
 	}
-	w.violations, w.current, w.started = w.current, headViolations{}, false
-	w.headCount++
+	s.violations, s.current, s.started = s.current, headViolations{}, false
+	s.headCount++
 	return true
 }
 
--- a/internal/node/lifecycle.go
+++ b/internal/node/lifecycle.go
@@ -15,9 +15,9 @@
 const (
 	starting phase = iota // no servers are known yet
 	active
-	standby // clients are sent elsewhere, but the process keeps running and may become active again
-	leaving // the process was told to stop; clients that are here are still served as before
-	closing // no new connections are accepted, and answers close theirs
+	standby // the front sends clients to other nodes; the process keeps running and may become active again
+	leaving // the process is to stop; connections are still accepted and served as before
+	closing // no new connections are accepted, and answers close their connections
 )
 
 func (p phase) String() string {
@@ -25,8 +25,8 @@
 }
 
 const (
-	// standbyNotice is how long a node in standby still serves as before: the front checks ten times a second, and then
-	// takes 0.2 s to stop sending new clients.
+	// standbyNotice is how long a node in standby still serves as before: the front, which distributes new clients over
+	// the nodes, checks readiness ten times a second, and then takes 0.2 s to stop sending new clients.
 	standbyNotice = 600 * time.Millisecond
 	// closeIdleInterval is the interval at which idle connections are closed while clients are being drained.
 	closeIdleInterval = 100 * time.Millisecond
@@ -34,9 +34,9 @@
 
 var errStopping = errors.New("this process is ending, and takes no clients again")
 
-// lifecycle alone decides on readiness and on when client connections are closed. SIGTERM and the operators' standby
-// have the same effect: the node reports that it isn't ready, and serves as before until the front has noticed. From then
-// on responses close their connections, and connections without a request are closed.
+// lifecycle alone decides whether the node is ready and when client connections are closed. SIGTERM and the operators'
+// standby have the same effect: the node reports that it isn't ready, and serves as before until the front has noticed.
+// From then on responses close their connections, and connections without a request are closed.
 type lifecycle struct {
 	current          atomic.Int32 // a phase
 	closeAfterAnswer atomic.Bool  // responses close their connections
@@ -46,13 +46,13 @@
 	recordStandby func(on bool)
 
 	mu           sync.Mutex
-	serversKnown bool // the servers are known
+	serversKnown bool // the starting phase has ended, so activate returns to active
 	generation   int  // incremented when draining begins or ends; timers of older generations do nothing
 }
 
 func (l *lifecycle) phase() phase { return phase(l.current.Load()) }
 
-// ready reports whether the front may send clients.
+// ready reports whether the front may send new clients.
 func (l *lifecycle) ready() bool { return l.phase() == active }
 
 // closesAfterAnswer reports whether a response closes its connection.
--- a/internal/node/lifecycle_test.go
+++ b/internal/node/lifecycle_test.go
@@ -200,7 +200,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	l := newClients(ln, 10)
+	l := newClientListener(ln, 10)
 	defer l.Close()
 	var clients [2]net.Conn
 	var conns [2]net.Conn
--- a/internal/node/list.go
+++ b/internal/node/list.go
@@ -9,52 +9,52 @@
 	"cobaltward/policy"
 )
 
-// handleList applies discovery news to the connection pools and the member list, and tells the decision module.
-func (l *loop) handleList(ctx context.Context, heard receivedUpdate) {
-	n := heard.Update
-	if n.Kind != policy.ListUnavailable {
-		l.upstream.applyList(heard)
-		l.logLeavingServers(n, l.updateMembers(n))
+// handleList applies a discovery update to the connection pools and the member list, and notifies the decision module.
+func (l *loop) handleList(ctx context.Context, received receivedUpdate) {
+	update := received.Update
+	if update.Kind != policy.ListUnavailable {
+		l.upstream.applyList(received)
+		l.logLeavingServers(update, l.updateMembers(update))
 		l.signalServerKnown()
 	}
-	members := make([]policy.Member, len(n.Members))
-	for i, m := range n.Members {
+	members := make([]policy.Member, len(update.Members))
+	for i, m := range update.Members {
 		members[i] = m.Member
 		if m.Availability != policy.Removed {
 			members[i].OnlineSince = l.starts.startTime(m.Server, m.UpSince)
 		}
 	}
 	start := l.clock.now()
-	l.notifyModule(ctx, policy.MemberList{Kind: n.Kind, Members: members})
-	l.reportListApplied(n, start)
-	if !heard.receivedAt.IsZero() && n.Kind != policy.ListUnavailable {
-		l.metrics.listDelay.Observe(time.Since(heard.receivedAt).Seconds())
+	l.notifyModule(ctx, policy.MemberList{Kind: update.Kind, Members: members})
+	l.reportListApplied(update, start)
+	if !received.receivedAt.IsZero() && update.Kind != policy.ListUnavailable {
+		l.metrics.listDelay.Observe(time.Since(received.receivedAt).Seconds())
 	}
 }
 
 // reportListApplied reports that a list has taken effect, and logs how long the decision module took to apply it.
-func (l *loop) reportListApplied(n discovery.Update, start policy.Time) {
-	if n.Kind == policy.ListUnavailable || n.Kind == policy.ListUpdate && len(n.Members) == 0 {
+func (l *loop) reportListApplied(update discovery.Update, start policy.Time) {
+	if update.Kind == policy.ListUnavailable || update.Kind == policy.ListUpdate && len(update.Members) == 0 {
 		return
 	}
 	if now := l.clock.now(); l.requestLog.mayWrite(now, "list") {
-		slog.Info("list: in force", "revision", n.Revision, "entries", len(n.Members),
-			"whole", n.Kind != policy.ListUpdate, "took", now-start)
+		slog.Info("list: in force", "revision", update.Revision, "entries", len(update.Members),
+			"whole", update.Kind != policy.ListUpdate, "took", now-start)
 	}
 	if l.onListApplied != nil {
-		l.onListApplied(n.Revision, time.Now())
+		l.onListApplied(update.Revision, time.Now())
 	}
 }
 
-// updateMembers merges the news into the member list, which a successor process takes over, and returns the servers that
+// updateMembers applies an update to the member list, which a successor process takes over, and returns the servers that
 // were running and now leave.
-func (l *loop) updateMembers(n discovery.Update) (leaving []discovery.Member) {
+func (l *loop) updateMembers(update discovery.Update) (leaving []discovery.Member) {
 	old := l.members
-	if n.Kind != policy.ListUpdate {
-		l.members = make(map[string]discovery.Member, len(n.Members))
+	if update.Kind != policy.ListUpdate {
+		l.members = make(map[string]discovery.Member, len(update.Members))
 	}
-	l.listRevision = n.Revision
-	for _, m := range n.Members {
+	l.listRevision = update.Revision
+	for _, m := range update.Members {
 		if previous, ok := old[m.Server]; ok && previous.Availability == policy.Running && m.Availability != policy.Running {
 			leaving = append(leaving, m)
 		}
@@ -63,11 +63,11 @@
 			l.starts.forget(m.Server)
 		}
 	}
-	if n.Kind == policy.ListUpdate {
+	if update.Kind == policy.ListUpdate {
 		return leaving
 	}
-	listed := make(map[string]bool, len(n.Members))
-	for _, m := range n.Members {
+	listed := make(map[string]bool, len(update.Members))
+	for _, m := range update.Members {
 		listed[m.Server] = true
 	}
 	for id, m := range old {
@@ -99,10 +99,10 @@
 }
 
 // logLeavingServers logs each server that leaves and the last request that was sent to it.
-func (l *loop) logLeavingServers(n discovery.Update, leaving []discovery.Member) {
-	if len(leaving) > 0 && !n.Requested.IsZero() {
-		slog.Info("list: servers leave", "servers", len(leaving), "revision", n.Revision,
-			"asked_ago", time.Since(n.Requested), "heard_ago", time.Since(n.Received))
+func (l *loop) logLeavingServers(update discovery.Update, leaving []discovery.Member) {
+	if len(leaving) > 0 && !update.Requested.IsZero() {
+		slog.Info("list: servers leave", "servers", len(leaving), "revision", update.Revision,
+			"asked_ago", time.Since(update.Requested), "heard_ago", time.Since(update.Received))
 	}
 	for _, m := range leaving {
 		last, now := l.lastSent[m.Server], l.clock.now()
--- a/internal/node/loop.go
+++ b/internal/node/loop.go
@@ -20,15 +20,15 @@
 
 const (
 	// timeOrigin is the reading of the policy clock at the start of the process. It is well above 0, so that servers that
-	// started before the node still have a positive start time: 0 means long ago, and would count a cold server as warm.
+	// started before the node still have a positive start time: 0 means long ago, so a cold server would count as warm.
 	timeOrigin = 24 * time.Hour
-	// answerMargin is how long before the client's deadline the decision module's deadline is, so that the response still
-	// arrives in time. The deadline timer responds half of it later. Short deadlines use 1/answerMarginDivisor of the
-	// client's wait instead.
+	// answerMargin is how much earlier than the client's deadline the decision module's deadline is, so that the response
+	// still arrives in time. The deadline timer fires half of answerMargin after the decision module's deadline. If the
+	// client waits only briefly, 1/answerMarginDivisor of its wait is used instead.
 	answerMargin        = 20 * time.Millisecond
 	answerMarginDivisor = 5
 	maxUploadTime       = maxBodySize/minBodyRate*time.Second + time.Minute
-	sweepInterval       = time.Second // for expired connections and wall-clock steps
+	sweepInterval       = time.Second // between checks for expired connections and wall-clock steps
 	nodeRetryAfter      = time.Second // Retry-After of requests that the node refuses without the decision module
 	idRetention         = 10 * time.Second
 	maxRetainedIDs      = 1 << 15
@@ -44,17 +44,17 @@
 // loop is the event loop. One goroutine owns the decision module, the open requests and the timers; all other goroutines
 // send it events. It blocks on nothing but the next event.
 type loop struct {
-	clock         clock
-	module        decisionModule
-	allowed       policy.Allowed
-	classes       map[string]policy.Class
-	maxOpen       int
-	upstream      *upstream
-	monitor       *invariant.Monitor
-	metrics       *metrics
-	clients       *clientListener // nil on a hollow node
-	discovery     *discovery.Client
-	onListApplied func(revision int64, at time.Time) // called for each list that takes effect; may be nil
+	clock           clock
+	module          decisionModule
+	allowed         policy.Allowed
+	classes         map[string]policy.Class
+	maxOpenRequests int
+	upstream        *upstream
+	monitor         *invariant.Monitor
+	metrics         *metrics
+	clients         *clientListener // nil on a hollow node
+	discovery       *discovery.Client
+	onListApplied   func(revision int64, at time.Time) // called for each list that takes effect; may be nil
 
 	events             *eventQueue
 	shedder            *shedder
@@ -65,11 +65,11 @@
 	members            map[string]discovery.Member // the current list, by server id
 	listRevision       int64                       // revision of members
 	starts             *serverStarts
-	listReceived       atomic.Bool            // discovery has delivered a list since the start
-	updateSequence     atomic.Uint64          // of discovery news, in the order of receipt
-	lastSent           map[string]sentRequest // the last attempt at each server, for the log
+	listReceived       atomic.Bool            // discovery has delivered a list since the process started
+	updateSequence     atomic.Uint64          // sequence number of the latest update from discovery, in order of receipt
+	lastSent           map[string]sentRequest // the last request sent to each server, for the log
 	recentIDs          recentIDs
-	unanswered         int // requests without a response so far
+	unanswered         int // open requests that have no response yet
 	stopping           bool
 	timers             timerHeap
 	requestLog         requestLog
@@ -77,7 +77,7 @@
 	runningAttempts    sync.WaitGroup
 }
 
-// request is an open client request. It is kept until it has its response and all its attempts have ended.
+// request is a client request as the loop tracks it, until it has its response and all its attempts have ended.
 type request struct {
 	*clientRequest
 	deadline        policy.Time
@@ -87,7 +87,7 @@
 	pendingAttempts int
 }
 
-// sentRequest records the last attempt that was sent to a server.
+// sentRequest identifies the last request that was sent to a server.
 type sentRequest struct {
 	id string
 	at policy.Time
@@ -96,7 +96,7 @@
 // The events of the loop, in addition to receivedUpdate.
 type (
 	arrival   struct{ request *clientRequest }
-	departure struct { // the handler has ended the request: the client left or the deadline passed
+	departure struct { // the handler has ended the request: the client left, or the handler responded instead of the loop
 		request *clientRequest
 	}
 	uploadEnd struct { // the last byte of a large body was forwarded to the server
@@ -121,27 +121,27 @@
 	if err != nil {
 		return nil, err
 	}
-	l := &loop{clock: ck, module: balancer, allowed: c.Settings.Allowed, maxOpen: c.MaxOpen, upstream: up, monitor: up.monitor, metrics: newMetrics(),
+	l := &loop{clock: ck, module: balancer, allowed: c.Settings.Allowed, maxOpenRequests: c.MaxOpen, upstream: up, monitor: up.monitor, metrics: newMetrics(),
 		events: newEventQueue(), shedder: newShedder(), done: make(chan struct{}), initialListApplied: make(chan struct{}), serverKnown: make(chan struct{}),
 		classes: make(map[string]policy.Class), requests: make(map[string]*request), lastSent: make(map[string]sentRequest), starts: newServerStarts(ck), recentIDs: recentIDs{seed: maphash.MakeSeed()}}
 	for _, class := range c.Settings.Classes {
 		l.classes[class.Name] = class
 	}
 	l.requestLog.metrics = l.metrics
-	l.discovery = discovery.New(c.discoveryConfig(), func(news discovery.Update) { l.send(news) })
+	l.discovery = discovery.New(c.discoveryConfig(), func(update discovery.Update) { l.send(update) })
 	return l, nil
 }
 
-// send queues an event for the loop and never blocks. News of servers that leave applies to attempts at once, before the
-// loop handles it: the loop may be late, and attempts may be in progress.
+// send queues an event for the loop and never blocks. A list update stops new attempts at leaving servers at once, before
+// the loop handles it: the loop may be late, and attempts may be about to send their first byte.
 func (l *loop) send(ev any) {
-	if n, ok := ev.(discovery.Update); ok {
-		news := receivedUpdate{Update: n, sequence: l.updateSequence.Add(1), receivedAt: time.Now()}
-		if n.Kind == policy.ListReplace || n.Kind == policy.ListUpdate {
+	if update, ok := ev.(discovery.Update); ok {
+		received := receivedUpdate{Update: update, sequence: l.updateSequence.Add(1), receivedAt: time.Now()}
+		if update.Kind == policy.ListReplace || update.Kind == policy.ListUpdate {
 			l.listReceived.Store(true)
-			l.upstream.stopLeavingServers(news)
+			l.upstream.stopLeavingServers(received)
 		}
-		ev = news
+		ev = received
 	}
 	l.events.push(ev)
 }
@@ -224,7 +224,7 @@
 // recordEvent updates the metrics for an event and logs one that waited or took too long.
 func (l *loop) recordEvent(kind string, waited, took time.Duration) {
 	if m, ok := l.module.(*policy.Balancer); ok {
-		l.metrics.requestsHeld.Set(float64(m.Waiting()))
+		l.metrics.requestsHeld.Set(float64(m.QueueLength()))
 	}
 	l.metrics.loopLag.Observe(waited.Seconds())
 	l.metrics.loopWork.WithLabelValues(kind).Observe(took.Seconds())
@@ -234,7 +234,7 @@
 	}
 }
 
-// shed refuses a request that the decision module has not been told of.
+// shed refuses a request that the decision module does not know of.
 func (l *loop) shed(x *clientRequest) {
 	if x.answerDirectly(nodeRefusal()) {
 		l.requestLog.recordShed(reasonLoopLag)
@@ -250,7 +250,7 @@
 			l.notifyModule(ctx, policy.Timer{Token: t.token})
 			l.recordEvent(kindOf(timerDue{}), now-t.due, time.Since(began))
 		} else {
-			l.fail(ctx, r, http.StatusGatewayTimeout, "backstop") // the decision module gave no result in time
+			l.fail(ctx, r, http.StatusGatewayTimeout, "backstop") // the decision module has not ended the request in time
 		}
 	}
 }
@@ -266,12 +266,12 @@
 		// By now another request may have the same id.
 		if r := l.requests[e.request.req.ID]; r != nil && r.clientRequest == e.request && !r.ended {
 			l.markEnded(r)
-			l.traceHandlerEnd(r)
+			l.recordHandlerEnd(r)
 			l.notifyModule(ctx, policy.ClientGone{ID: r.req.ID})
 			l.dropIfDone(r)
 		}
 	case uploadEnd:
-		if r := e.request; !r.ended { // the client's wait counts from the last byte of its body
+		if r := e.request; !r.ended { // the client's deadline counts from the last byte of its body
 			r.deadline += e.took
 			l.postponeDeadlineTimer(r, r.deadline+r.margin()/2)
 		}
@@ -295,7 +295,7 @@
 		l.stopping = true
 		for _, r := range l.requests {
 			if !r.ended {
-				l.stop(ctx, r)
+				l.stopRequest(ctx, r)
 			}
 		}
 	}
@@ -312,7 +312,7 @@
 		x.answerDirectly(answer{status: http.StatusConflict})
 		return
 	}
-	if l.stopping || l.maxOpen > 0 && l.unanswered >= l.maxOpen {
+	if l.stopping || l.maxOpenRequests > 0 && l.unanswered >= l.maxOpenRequests {
 		x.answerDirectly(nodeRefusal())
 		return
 	}
@@ -331,19 +331,19 @@
 	l.notifyModule(ctx, req)
 }
 
-// postponeDeadlineTimer moves a request's deadline timer.
+// postponeDeadlineTimer moves a request's deadline timer to a later time.
 func (l *loop) postponeDeadlineTimer(r *request, due policy.Time) {
-	if r.deadlineTimer.index >= 0 {
+	if r.deadlineTimer.heapPosition >= 0 {
 		r.deadlineTimer.due = due
-		heap.Fix(&l.timers, r.deadlineTimer.index)
+		heap.Fix(&l.timers, r.deadlineTimer.heapPosition)
 	}
 }
 
-// handleAttemptEnd records an attempt's outcome, responds to the client if the attempt succeeded, and tells the decision
-// module.
+// handleAttemptEnd records an attempt's outcome, responds to the client if the attempt succeeded, and notifies the
+// decision module.
 func (l *loop) handleAttemptEnd(ctx context.Context, e attemptEnd) {
 	a := &e.request.attempts[e.index]
-	if e.answer.stream == nil { // a streamed response ends with its last byte
+	if e.answer.stream == nil { // a streamed response is still being transferred
 		a.cancel()
 	}
 	a.ended, a.code = true, e.code
@@ -372,7 +372,7 @@
 }
 
 // notifyModule passes an event to the decision module and executes the returned actions in order. Outcomes of attempts
-// that were skipped on the way follow as further events.
+// that were skipped while the actions were executed follow as further events.
 func (l *loop) notifyModule(ctx context.Context, ev policy.Event) {
 	for {
 		for _, a := range l.module.Handle(l.clock.now(), ev) {
--- a/internal/node/loop_test.go
+++ b/internal/node/loop_test.go
@@ -232,14 +232,14 @@
 	if a := receive(t, "the answer", l.sendArrival("r1", testTimeout).reply); a.status != http.StatusConflict {
 		t.Errorf("duplicate of an ended request: status %d", a.status)
 	}
-	for i := 2; i <= l.maxOpen+1; i++ {
+	for i := 2; i <= l.maxOpenRequests+1; i++ {
 		l.sendArrival(fmt.Sprint("r", i), testTimeout)
 	}
 	if a := receive(t, "the answer", l.sendArrival("more", testTimeout).reply); a.status != http.StatusServiceUnavailable || a.retryAfter <= 0 {
 		t.Errorf("beyond the limit: status %d, retry after %v", a.status, a.retryAfter)
 	}
-	if n := len(s.eventSummaries()); n != 3+l.maxOpen {
-		t.Errorf("the module received %d events, want the list, the first request and its end, and %d requests", n, l.maxOpen)
+	if n := len(s.eventSummaries()); n != 3+l.maxOpenRequests {
+		t.Errorf("the module received %d events, want the list, the first request and its end, and %d requests", n, l.maxOpenRequests)
 	}
 }
 
--- a/internal/node/memory_budget.go
+++ b/internal/node/memory_budget.go
@@ -11,14 +11,14 @@
 	maxSmallBody   = 64 << 10 // bytes up to which a body is buffered completely
 	maxBodySize    = 32 << 20 // limit of any body, in bytes
 	pieceSize      = 16 << 10 // bytes in which larger bodies are forwarded
-	maxHeldBody    = 1 << 20  // bytes up to which a request is buffered completely if there is memory
+	maxHeldBody    = 1 << 20  // bytes up to which a request's body is buffered completely if there is memory
 	budgetFraction = 1.0 / 16 // of the memory, for each of the separate budgets below
 	minBudget      = 2 * maxSmallBody
 )
 
-// memoryBudget limits the memory for bodies. Whoever reads a body reserves memory for it first. Requests and responses
+// memoryBudget limits the memory for bodies. Memory is reserved before a body is read. Requests and responses
 // have separate budgets, since a request holds its memory until its response has arrived. So have small and large bodies,
-// lest a few slow large ones block all others.
+// so that a few slow large ones don't block all others.
 type memoryBudget struct {
 	requests, answers           *semaphore.Weighted
 	largeRequests, largeAnswers *semaphore.Weighted
@@ -43,22 +43,22 @@
 }
 
 // reserve waits until bytes of the budget are available, and reserves them.
-func reserve(ctx context.Context, of *semaphore.Weighted, bytes int64) (*reservation, error) {
-	if err := of.Acquire(ctx, bytes); err != nil {
+func reserve(ctx context.Context, budget *semaphore.Weighted, bytes int64) (*reservation, error) {
+	if err := budget.Acquire(ctx, bytes); err != nil {
 		return nil, err
 	}
-	return &reservation{budget: of, bytes: bytes}, nil
+	return &reservation{budget: budget, bytes: bytes}, nil
 }
 
 // tryReserve reserves bytes if they are available at once; otherwise it returns nil.
-func tryReserve(of *semaphore.Weighted, bytes int64) *reservation {
-	if !of.TryAcquire(bytes) {
+func tryReserve(budget *semaphore.Weighted, bytes int64) *reservation {
+	if !budget.TryAcquire(bytes) {
 		return nil
 	}
-	return &reservation{budget: of, bytes: bytes}
+	return &reservation{budget: budget, bytes: bytes}
 }
 
-// resize returns what exceeds bytes to the budget.
+// resize shrinks the reservation to the given bytes, and returns the rest to the budget.
 func (r *reservation) resize(bytes int64) {
 	if r == nil {
 		return
--- a/internal/node/metrics.go
+++ b/internal/node/metrics.go
@@ -19,12 +19,12 @@
 
 // Reasons for closing client connections, the label values of wayhold_client_connections_closed_total.
 const (
-	closedToMakeRoom = "room"      // evicted to make room for other connections
-	closedIdle       = "idle"      // had no request for too long
-	closedSentAway   = "sent_away" // the process is in standby or shutting down
-	closedRejected   = "rejected"  // sent an invalid request
-	closedByClient   = "client"    // the client had disconnected
-	closedWithReply  = "answered"  // closed with a response that had Connection: close
+	closedEvicted       = "room"      // evicted in favour of another connection
+	closedIdle          = "idle"      // had no request for too long
+	closedDraining      = "sent_away" // the process is in standby or shutting down
+	closedRejected      = "rejected"  // sent an invalid request
+	closedByClient      = "client"    // the client disconnected first
+	closedAfterResponse = "answered"  // closed with a response that had Connection: close
 )
 
 // heldUntilSent is the label value of wayhold_request_held_seconds for a wait that ended with an attempt.
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -15,14 +15,14 @@
 
 const (
 	reservedSockets      = 24                     // descriptors for the log, discovery, the runtime and the like
-	clientSocketFraction = 0.4                    // of the others for clients: the third that their requests take, and some spare
-	maxDrain             = 3 * time.Second        // limit of the time that clients wait once a node is told to stop
-	leavingFraction      = 0.6                    // of the longest deadline, in which the node still accepts connections
+	clientSocketFraction = 0.4                    // of the other descriptors, for clients: requests need a third, the rest is spare
+	maxDrain             = 3 * time.Second        // upper limit on the longest deadline that a stopping node allows for
+	leavingFraction      = 0.6                    // of the longest deadline, for which a stopping node still accepts connections
 	minLeaving           = 450 * time.Millisecond // new connections arrive for up to 0.4 s after SIGTERM
-	killMargin           = 300 * time.Millisecond // used beyond the longest deadline; SIGKILL comes 0.7 s after it
-	readyTimeout         = 5 * time.Second        // a node that knows no server reports ready after this all the same
+	killMargin           = 300 * time.Millisecond // of draining beyond the longest deadline; SIGKILL comes 0.7 s after that deadline
+	readyTimeout         = 5 * time.Second        // after which a node reports ready even if it knows no server
 	drainPollInterval    = 10 * time.Millisecond  // between checks whether clients are left
-	finalAnswerTime      = 100 * time.Millisecond // for the answers of requests that are ended last to reach their clients
+	finalAnswerTime      = 100 * time.Millisecond // for the answers to requests ended by endOpenRequests to reach their clients
 )
 
 // Listeners are the listeners of a node.
@@ -32,7 +32,7 @@
 }
 
 // Run serves clients until ctx ends. Then it continues to accept connections for a moment, answers the open requests, and
-// returns. Discovery uses the addresses received from moves.
+// returns. Each address received from moves replaces the address of discovery.
 func Run(ctx context.Context, c Config, listeners Listeners, moves <-chan string) error {
 	ck := clock{start: time.Now()}
 	h, inherited := takeOver(&c)
@@ -51,7 +51,7 @@
 	logSettings(c.Settings)
 	slog.Info("limits", "nodes", c.Settings.Nodes, "max_open", c.MaxOpen, "connect_timeout", c.ConnectTimeout,
 		"connection_idle", c.Settings.Allowed.ConnIdle, "max_retry_after", c.Settings.Allowed.MaxRetryAfter,
-		"client_sockets", clientSockets, "server_sockets", up.maxOpen)
+		"client_sockets", clientSockets, "server_sockets", up.maxOpenConns)
 	l, err := newLoop(c, ck, up)
 	if err != nil {
 		return err
@@ -60,9 +60,9 @@
 		m.Restore(ck.now(), inherited.Policy, time.Since(inherited.Saved))
 	}
 	s := newServer(c, l)
-	clients := newClients(listeners.Clients, clientSockets)
+	clients := newClientListener(listeners.Clients, clientSockets)
 	clients.monitor = up.monitor
-	clients.spareSockets, up.borrowed, up.reclaim = up.available, clients.borrowed, clients.reclaim
+	clients.spareDescriptors, up.borrowed, up.reclaim = up.spareDescriptors, clients.borrowed, clients.reclaim
 	l.clients = clients
 	clients.metrics = l.metrics
 	l.metrics.registerSources(up.monitor, clients, up, &s.lifecycle, c.LogDropped)
@@ -98,7 +98,7 @@
 		s.lifecycle.enterStandby()
 	}
 	shares := &sharedLimits{handover: h, loop: l, lifecycle: &s.lifecycle, clients: clients, upstream: up, clientSockets: clientSockets,
-		serverSockets: up.maxOpen, reservedSockets: reserved}
+		serverSockets: up.maxOpenConns, reservedSockets: reserved}
 	switch {
 	case h != nil:
 		shares.step(time.Now())
@@ -129,15 +129,15 @@
 	return nil
 }
 
-// awaitServers waits until a server is known, but no longer than the time limit for readiness allows, and reports whether
-// one is: discovery may be unavailable, and the front would send no clients all the while.
+// awaitServers waits until a server is known, and reports whether one is. It waits no longer than readyTimeout: discovery
+// may be unavailable, and until the node reports ready the front sends it no clients.
 func (l *loop) awaitServers(ctx context.Context) bool {
-	late := time.NewTimer(readyTimeout)
-	defer late.Stop()
+	timeout := time.NewTimer(readyTimeout)
+	defer timeout.Stop()
 	select {
 	case <-l.serverKnown:
 		return true
-	case <-late.C:
+	case <-timeout.C:
 	case <-ctx.Done():
 	}
 	return false
@@ -170,10 +170,10 @@
 }
 
 // drain ends the service. Clients keep connecting and keep using their connections for a while: there may be no other
-// node for them yet. So at first the node serves as before, and only reports that it isn't ready. Then it closes each
-// connection with its response, early enough for the requests accepted last. If a successor serves the clients, it starts
-// closing at once.
-func (s *server) drain(c Config, clients *clientListener, served <-chan error, succeeded bool) {
+// node for them yet. So at first the node serves as before, and only reports that it isn't ready. Then it accepts no new
+// connections and closes each one after its response, early enough for the requests accepted last to be answered. If a
+// successor serves the clients, it starts closing at once.
+func (s *server) drain(c Config, clients *clientListener, serveEnded <-chan error, hasSuccessor bool) {
 	var longest time.Duration
 	for _, class := range c.Settings.Classes {
 		longest = max(longest, class.Deadline)
@@ -181,25 +181,25 @@
 	longest = min(longest, maxDrain)
 	leavingTime := max(minLeaving, time.Duration(leavingFraction*float64(longest)))
 	longest += killMargin
-	if succeeded {
+	if hasSuccessor {
 		leavingTime = 0
 	}
-	slog.Info("stopping", "succeeded", succeeded, "serves_on", leavingTime, "at_most", longest)
-	late := time.NewTimer(longest)
-	defer late.Stop()
+	slog.Info("stopping", "succeeded", hasSuccessor, "serves_on", leavingTime, "at_most", longest)
+	timeout := time.NewTimer(longest)
+	defer timeout.Stop()
 	s.lifecycle.beginLeaving(leavingTime)
 	if leavingTime > 0 {
 		time.Sleep(leavingTime)
 	}
 	s.lifecycle.beginClosing()
 	clients.Close()
-	<-served // the last accepted connection is among those that are counted
-	if s.awaitNoClients(clients, late.C) {
+	<-serveEnded // from here on, the count of open connections includes the one accepted last
+	if s.awaitNoClients(clients, timeout.C) {
 		return
 	}
 	s.endOpenRequests()
-	late.Reset(finalAnswerTime)
-	if !s.awaitNoClients(clients, late.C) {
+	timeout.Reset(finalAnswerTime)
+	if !s.awaitNoClients(clients, timeout.C) {
 		slog.Warn("stopped with client connections open", "connections", clients.openCount())
 		clients.stopLingering()
 		s.http.Close()
@@ -207,21 +207,21 @@
 }
 
 // endOpenRequests ends the requests that are still open, and refuses new ones. The handlers do so themselves, since the
-// loop may be late and connections will soon be cut.
+// loop may be late and connections will soon be closed.
 func (s *server) endOpenRequests() {
 	s.loop.send(finish{}) // before the events that the handlers send to the loop
 	close(s.answerNow)
 }
 
-// awaitNoClients waits until no client is left. It returns false if late fires first.
-func (s *server) awaitNoClients(clients *clientListener, late <-chan time.Time) bool {
+// awaitNoClients waits until no client is left. It returns false if timeout fires first.
+func (s *server) awaitNoClients(clients *clientListener, timeout <-chan time.Time) bool {
 	ticker := time.NewTicker(drainPollInterval)
 	defer ticker.Stop()
 	for clients.openCount() > 0 {
 		select {
 		case <-ticker.C:
-		case <-late:
-			time.Sleep(2 * drainPollInterval) // if the process was suspended, its handlers have not run since late fired
+		case <-timeout:
+			time.Sleep(2 * drainPollInterval) // if the process was suspended, its handlers have not run since timeout fired
 			return clients.openCount() == 0
 		}
 	}
--- a/internal/node/request_ids.go
+++ b/internal/node/request_ids.go
@@ -6,9 +6,10 @@
 	"cobaltward/policy"
 )
 
-// recentIDs remembers the ids of recent requests for between idRetention and twice that, to detect duplicates. It consists of
-// two sets, of which the older is dropped as a whole, so it neither grows without bound nor needs to be searched for
-// expired ids. At a very high request rate the time is shorter. It stores hashes of the ids to save memory.
+// recentIDs holds the ids of recent requests for idRetention at least and twice that at most, to detect duplicates. It
+// consists of two sets, of which the older is dropped as a whole, so it neither grows without bound nor needs to be
+// searched for expired ids. Beyond maxRetainedIDs ids per idRetention, ids are dropped sooner. It stores hashes of the
+// ids to save memory.
 type recentIDs struct {
 	seed         maphash.Seed
 	began        policy.Time
--- a/internal/node/request_reader.go
+++ b/internal/node/request_reader.go
@@ -15,7 +15,8 @@
 	"cobaltward/policy"
 )
 
-// readRequest reads and validates a request, or returns what is wrong with it. What it accepts is forwarded to servers.
+// readRequest reads and validates a request. If it is invalid, x is nil, and status and problem are the response. Whatever
+// readRequest accepts is forwarded to servers.
 func (s *server) readRequest(w http.ResponseWriter, r *http.Request) (x *clientRequest, status int, problem string) {
 	h := r.Header
 	for _, name := range []string{"X-Request-Id", "X-Class", "X-Tenant", "X-Deadline-Ms", "Idempotency-Key"} {
@@ -74,7 +75,7 @@
 	return x, 0, ""
 }
 
-// readBody reads a small body completely, and of a large one the part that is held; the rest is streamed later.
+// readBody reads a small body completely, and of a large one the part that is buffered; the rest is streamed later.
 func (s *server) readBody(w http.ResponseWriter, r *http.Request, x *clientRequest) (err error) {
 	if x.length == 0 {
 		return nil
@@ -86,10 +87,10 @@
 	budget, hold := s.memory.requests, x.length
 	switch {
 	case x.length < 0:
-		hold = maxSmallBody + 1 // the last byte tells whether it is large
+		hold = maxSmallBody + 1 // one more, to detect whether the body is large
 	case x.length > maxSmallBody:
 		budget, hold = s.memory.largeRequests, maxSmallBody
-		// Held completely, it occupies a server only once all of it has arrived, and can be sent again.
+		// A body that is buffered completely occupies a server only once all of it has arrived, and can be sent again.
 		if x.length <= maxHeldBody {
 			if x.reserved = tryReserve(s.memory.heldRequests, x.length); x.reserved != nil {
 				hold = x.length
@@ -122,9 +123,9 @@
 	return err
 }
 
-// waitForMemory reserves memory for a body. If all of the body has been sent, it waits no longer than the client does,
-// because such a client must get a final answer, whoever holds the memory. The rest of a larger body arrives only once
-// there is memory for it. Nobody waits beyond the end of the process.
+// waitForMemory reserves memory for a body. For a small body, or one that has arrived completely, it waits no longer than
+// the client does, because the client of a complete request must get a final answer even if there is no memory. A larger
+// body that hasn't arrived completely is still being sent, and waits on. All waits end when the process stops.
 func (s *server) waitForMemory(r *http.Request, x *clientRequest, budget *semaphore.Weighted, bytes int64) (*reservation, error) {
 	if reserved := tryReserve(budget, bytes); reserved != nil {
 		return reserved, nil
@@ -155,7 +156,7 @@
 	return reserved, err
 }
 
-// validID limits ids to what may be stored in the table of requests and sent in a header.
+// validID reports whether an id may be stored in the table of requests and sent in a header.
 func validID(id string) bool {
 	for i := 0; i < len(id); i++ {
 		if id[i] <= ' ' || id[i] > '~' {
--- a/internal/node/response.go
+++ b/internal/node/response.go
@@ -9,13 +9,13 @@
 	"time"
 )
 
-// respond writes the response to the client. Whether the connection closes behind it is decided as late as possible,
+// respond writes the response to the client. Whether to close the connection after it is decided as late as possible,
 // because the process may have begun to close client connections in the meantime.
 func (s *server) respond(w http.ResponseWriter, r *http.Request, x *clientRequest, a answer) {
 	c := clientConnOf(r)
 	if !c.mayStayOpen(s.lifecycle.closesAfterAnswer()) || len(r.TransferEncoding) > 0 && !c.tracksHeads() {
 		w.Header().Set("Connection", "close")
-		c.countClosed(closedWithReply)
+		c.countClosed(closedAfterResponse)
 	}
 	defer c.markAnswered()
 	if x.bodyRest != nil && !x.bodyRest.isComplete() {
@@ -24,7 +24,7 @@
 	}
 	defer a.reserved.release()
 	if a.stream == nil {
-		writeAnswer(w, a)
+		writeBufferedResponse(w, a)
 		return
 	}
 	if c != nil { // otherwise the kernel buffers megabytes for a client that reads slowly
@@ -34,7 +34,7 @@
 	a.stream.end(err)
 	if err != nil {
 		slog.Info("forwarding a large response failed", "id", x.req.ID, "err", err)
-		panic(http.ErrAbortHandler) // the connection breaks, so that the client notices
+		panic(http.ErrAbortHandler) // closes the connection, so that the client detects the incomplete response
 	}
 }
 
@@ -84,8 +84,8 @@
 }
 
 // discardRest reads and discards the rest of a large request body after an early response, as long as it arrives at an
-// acceptable rate: many clients read the response only after they have written the whole request, and would lose it if
-// the connection were closed before.
+// acceptable rate: many clients read the response only after they have written the whole request, and would not receive
+// it if the connection were closed before.
 func (s *server) discardRest(w http.ResponseWriter, x *clientRequest) {
 	x.reserved.release()
 	if x.bodyRest.forwarded.Swap(true) { // an attempt is reading it
@@ -121,8 +121,8 @@
 	http.Error(w, message, status)
 }
 
-// writeAnswer writes a response whose body is completely in memory.
-func writeAnswer(w http.ResponseWriter, a answer) {
+// writeBufferedResponse writes a response whose body is completely in memory.
+func writeBufferedResponse(w http.ResponseWriter, a answer) {
 	// A client that doesn't read must not block the handler forever.
 	_ = http.NewResponseController(w).SetWriteDeadline(time.Now().Add(writeTimeout))
 	h := w.Header()
@@ -137,7 +137,7 @@
 	_, _ = w.Write(a.body) // the client may have left; the request has ended either way
 }
 
-// formatRetryAfter returns a Retry-After value: seconds, integer or decimal (PROTOCOL).
+// formatRetryAfter returns a Retry-After value in seconds, which may be a decimal fraction (PROTOCOL).
 func formatRetryAfter(wait time.Duration) string {
 	return strconv.FormatFloat(wait.Seconds(), 'f', -1, 64)
 }
--- a/internal/node/scale_test.go
+++ b/internal/node/scale_test.go
@@ -84,7 +84,7 @@
 	l := largeSiteLoop(t, largeSiteSize)
 	u, list, rng := l.upstream, generateMembers(largeSiteSize), rand.New(rand.NewPCG(1, 2))
 	u.applyNewestList(discovery.Update{Kind: policy.ListReplace, Members: list})
-	u.maxOpen = 40
+	u.maxOpenConns = 40
 	evicted, swept := 0, 0
 	for i := range 5000 {
 		id := list[rng.IntN(len(list))].Server
@@ -111,7 +111,7 @@
 				u.openConns += len(p.idle)
 			}
 		default:
-			if u.openConns >= u.maxOpen {
+			if u.openConns >= u.maxOpenConns {
 				oldest := time.Now()
 				for _, p := range u.pools {
 					for _, c := range p.idle {
--- a/internal/node/server.go
+++ b/internal/node/server.go
@@ -12,21 +12,21 @@
 )
 
 const (
-	maxIDLength       = 128 // bytes; the ids of the protocol are far shorter
-	maxDeadlineMs     = 3_600_000
-	maxHeaderBytes    = 16 << 10
-	headerTimeout     = 2500 * time.Millisecond // for a request's head; its body has as long again
-	clientIdleTimeout = 15 * time.Second        // without a request; less under pressure
-	writeTimeout      = 5 * time.Second         // for a response to a client that doesn't read
-	closeIdleAfter    = 200 * time.Millisecond  // without a request, before a client's connection is closed while draining
-	freshConnPeriod   = 50 * time.Millisecond   // without a request, in which a connection is expected to send one
-	streamBuffer      = 64 << 10                // bytes of a large response that the kernel buffers for a client
-	lingerTimeout     = 500 * time.Millisecond  // for the body of a request refused unread, or what follows it
-	maxLingerBytes    = 256 << 10               // discarded within that time
-	maxKeptForUnread  = 8                       // pipelined requests on a connection that is to be closed
-	minHidingBytes    = 32 << 10                // unread behind a full read-ahead buffer, so that a FIN may not fit
-	maxReadAhead      = 64 << 10                // bytes behind a request in flight that are read to detect a disconnect
-	readyPath         = "/health/ready"
+	maxIDLength        = 128 // bytes; the ids of the protocol are far shorter
+	maxDeadlineMs      = 3_600_000
+	maxHeaderBytes     = 16 << 10
+	headerTimeout      = 2500 * time.Millisecond // for a request's head; its body has its own limit, bodyGrace
+	clientIdleTimeout  = 15 * time.Second        // without a request; less at the connection limit
+	writeTimeout       = 5 * time.Second         // for a response to a client that doesn't read
+	closeIdleAfter     = 200 * time.Millisecond  // without a request, after which a client's connection is closed while draining
+	freshConnPeriod    = 50 * time.Millisecond   // after its last activity, a connection is evicted only if no other can be
+	streamBuffer       = 64 << 10                // bytes of a large response that the kernel buffers for a client
+	lingerTimeout      = 500 * time.Millisecond  // for a client to read its response and close its side
+	maxLingerBytes     = 256 << 10               // read and discarded in that time, such as the body of a request refused unread
+	maxKeptForUnread   = 8                       // times that a connection to be closed is kept open for a request not read yet
+	minUnreadHidingFIN = 32 << 10                // with so many unread in the socket, the client's FIN may not fit into the buffer
+	maxReadAhead       = 64 << 10                // bytes behind a request in flight that are read to detect a disconnect
+	readyPath          = "/health/ready"
 )
 
 // server accepts requests from clients, passes them to the loop, and writes the loop's answers.
@@ -110,13 +110,13 @@
 		s.respond(w, r, x, nodeRefusal())
 		return
 	}
-	if x.bodyRest == nil { // it may have left while the body was read, or while it waited for memory or its turn
+	if x.bodyRest == nil { // the client may have disconnected during the read, or while the request waited
 		switch c.presence() {
 		case clientDeparted:
 			x.client.countClosed(closedByClient)
 			panic(http.ErrAbortHandler)
 		case presenceUnknown:
-			s.loop.monitor.Deny(invariant.AttemptAfterDeparture)
+			s.loop.monitor.RecordDenial(invariant.AttemptAfterDeparture)
 			s.respond(w, r, x, nodeRefusal())
 			return
 		}
@@ -127,7 +127,7 @@
 	}
 	x.handlerTimer = time.NewTimer(time.Until(x.handlerDeadline(s.loop.clock)))
 	defer x.handlerTimer.Stop()
-	if x.bodyRest != nil { // until its body has been forwarded
+	if x.bodyRest != nil { // later, since the body is still to be forwarded
 		x.handlerTimer.Reset(time.Until(x.handlerDeadline(s.loop.clock)) + maxUploadTime)
 	}
 	s.loop.send(arrival{x})
@@ -162,8 +162,9 @@
 	s.respond(w, r, x, x.handlerAnswer())
 }
 
-// reportDeparture tells the loop that the request's client has left, and drops an answer that was given at the same moment.
-// It doesn't wait for the loop to handle the event, which may be late: no attempt begins from here on.
+// reportDeparture notifies the loop that the request's client has disconnected, and drops an answer that was given at the
+// same moment. It doesn't wait for the loop, which may be late, to handle the event: a claimed request begins no further
+// attempt.
 func (s *server) reportDeparture(x *clientRequest) {
 	x.cancel()
 	claimed := x.claim(clientLeft)
@@ -173,7 +174,7 @@
 	}
 }
 
-// writeReadiness tells the front whether the node may receive clients.
+// writeReadiness reports to the front whether it may send clients.
 func (s *server) writeReadiness(w http.ResponseWriter) {
 	if s.lifecycle.closesAfterAnswer() {
 		w.Header().Set("Connection", "close")
--- a/internal/node/shared.go
+++ b/internal/node/shared.go
@@ -10,8 +10,8 @@
 	"cobaltward/internal/discovery"
 )
 
-// sharedLimits divides the node's limits between its two processes during a handover: each keeps to its own share, so
-// that together they stay within the limits.
+// sharedLimits divides the node's limits between its two processes during a handover, so that both together stay within
+// them.
 type sharedLimits struct {
 	*handover
 	loop      *loop
@@ -29,8 +29,8 @@
 	writeFailing        bool          // the last write failed
 }
 
-// joinLater retries joining the handover folder, and shares the limits once that succeeds. Until then the process uses
-// the limits of one that runs alone.
+// joinLater retries joining the handover folder, and then calls run. Until it has joined, the process uses the limits of a
+// process that runs alone.
 func (s *sharedLimits) joinLater(ctx context.Context, dir string, joined *atomic.Pointer[handover]) {
 	tick := time.NewTicker(snapshotInterval)
 	defer tick.Stop()
@@ -56,7 +56,7 @@
 
 // run adjusts the limits and writes snapshots for a successor until ctx ends.
 func (s *sharedLimits) run(ctx context.Context) {
-	tick := time.NewTicker(followInterval)
+	tick := time.NewTicker(processCheckInterval)
 	defer tick.Stop()
 	for {
 		s.step(time.Now())
@@ -72,7 +72,7 @@
 func (s *sharedLimits) step(now time.Time) {
 	hasSuccessor, hasPredecessor := s.hasSuccessor(), s.predecessorAlive()
 	s.retryStandby()
-	s.halveHeap(hasPredecessor || hasSuccessor)
+	s.adjustHeapLimit(hasPredecessor || hasSuccessor)
 	switch {
 	case hasPredecessor:
 		predecessor, err := s.readSnapshot(s.predecessor, now)
@@ -83,12 +83,12 @@
 			s.loop.send(predecessorList{discovery.List{Revision: predecessor.Revision, Complete: true, Members: predecessor.Members}})
 		}
 		s.clients.setBaseLimit(max(minConnsPerSide, s.clientSockets-predecessor.Clients-s.reservedSockets/2))
-		s.upstream.setMaxOpen(max(minConnsPerSide, s.serverSockets-predecessor.Servers-s.reservedSockets/2))
+		s.upstream.setMaxOpenConns(max(minConnsPerSide, s.serverSockets-predecessor.Servers-s.reservedSockets/2))
 	case hasSuccessor:
-		s.limitPredecessor()
+		s.limitAsPredecessor()
 	default:
 		s.clients.setBaseLimit(s.clientSockets)
-		s.upstream.setMaxOpen(s.serverSockets)
+		s.upstream.setMaxOpenConns(s.serverSockets)
 	}
 	if hasSuccessor || now.Sub(s.lastWrite) >= s.writeInterval() {
 		s.lastWrite = now
@@ -104,26 +104,28 @@
 	}
 }
 
-// writeInterval returns the time between two snapshots. With many servers and tenants a snapshot takes long, so the interval
-// grows with that time and snapshots use only a small share of the CPU. A snapshot expires after maxSnapshotAge.
+// writeInterval returns the time between two snapshots. With many servers and tenants a snapshot takes long to write, so the
+// interval grows with that time, and snapshots use only a small fraction of the CPU. It stays below maxSnapshotAge, after
+// which a snapshot expires.
 func (s *sharedLimits) writeInterval() time.Duration {
 	return min(maxSnapshotAge/2, max(snapshotInterval, snapshotCostFactor*s.writeDuration))
 }
 
-// limitPredecessor sets the limits of a process that has a successor: to half each until it is told to end, then to
-// none, but never below its open client connections and the server connections that these need.
-func (s *sharedLimits) limitPredecessor() {
+// limitAsPredecessor sets the limits of this process while it has a successor: to half of each until it begins to close,
+// then to 0, but never below its open client connections and the server connections that these need.
+func (s *sharedLimits) limitAsPredecessor() {
 	clients, servers := s.clientSockets/2, s.serverSockets/2
 	if s.lifecycle.phase() == closing {
 		clients, servers = 0, 0
 	}
 	open := s.clients.openCount()
 	s.clients.setBaseLimit(max(clients, open))
-	s.upstream.setMaxOpen(max(servers, open+minConnsPerSide))
+	s.upstream.setMaxOpenConns(max(servers, open+minConnsPerSide))
 }
 
-// halveHeap halves the heap limit while there are two processes, and tells the loop how many there are.
-func (s *sharedLimits) halveHeap(twoProcesses bool) {
+// adjustHeapLimit halves the heap limit while there are two processes, restores it afterwards, and notifies the loop of the
+// number of processes.
+func (s *sharedLimits) adjustHeapLimit(twoProcesses bool) {
 	if twoProcesses == s.heapHalved {
 		return
 	}
@@ -144,6 +146,6 @@
 func (s *sharedLimits) snapshot(now time.Time) snapshot {
 	state := s.loop.snapshot()
 	state.Saved, state.Standby = now, s.lifecycle.phase() == standby
-	state.Clients, state.Servers = s.clients.currentBaseLimit(), s.upstream.openLimit()
+	state.Clients, state.Servers = s.clients.currentBaseLimit(), s.upstream.openConnLimit()
 	return state
 }
--- a/internal/node/snapshot.go
+++ b/internal/node/snapshot.go
@@ -25,7 +25,8 @@
 	Revision  int64
 	Members   []discovery.Member
 	Policy    policy.Memory
-	// Connections that the process may still have open, since both processes together must keep to one node's descriptors.
+	// Clients and Servers are the numbers of connections that the process may still have open: both processes together must
+	// not use more file descriptors than one node may.
 	Clients, Servers int
 }
 
--- a/internal/node/socket.go
+++ b/internal/node/socket.go
@@ -44,7 +44,7 @@
 	return n, err
 }
 
-// readSocket reads what has arrived. It returns syscall.EAGAIN if there is nothing, and io.EOF at the peer's end.
+// readSocket reads what has arrived. It returns syscall.EAGAIN if there is nothing, and io.EOF at the end of the peer's stream.
 func readSocket(fd int, p []byte) (n int, err error) {
 	for {
 		if err := faultpoint.Fail(faultpoint.Read); err != nil {
@@ -122,7 +122,7 @@
 	return n
 }
 
-// dataAgeUnsupported is set once the system has refused to tell the age of a connection's data, so it isn't asked again.
+// dataAgeUnsupported is set once the system has refused to report the age of a connection's data, so it isn't asked again.
 var dataAgeUnsupported atomic.Bool
 
 // lastDataAge returns how long ago the connection's newest data arrived (TCP_INFO, with a resolution of some
--- a/internal/node/starts.go
+++ b/internal/node/starts.go
@@ -10,7 +10,7 @@
 
 const (
 	// minWallStep is the least difference between two readings that counts as a step of the wall clock: slewing, and the
-	// delay between reading the two clocks, cause less.
+	// delay between reading the wall clock and the node's own, cause smaller ones.
 	minWallStep = 250 * time.Millisecond
 	// maxReadings limits the readings that are kept if the wall clock is stepped repeatedly.
 	maxReadings = 8
@@ -30,7 +30,8 @@
 	known    map[string]serverStart
 }
 
-// serverStart is a start as it was first converted. It is kept, or the server would be taken for a new process.
+// serverStart is a start as it was first converted. It is kept, since with a different start time the server would be
+// taken for a new process.
 type serverStart struct {
 	reported int64 // Unix milliseconds
 	at       policy.Time
--- a/internal/node/timers.go
+++ b/internal/node/timers.go
@@ -19,10 +19,10 @@
 
 // timer is a timer of the decision module, or a request's deadline timer.
 type timer struct {
-	due        policy.Time
-	token      uint64
-	deadlineOf *request
-	index      int // index in the heap; -1 once it is removed
+	due          policy.Time
+	token        uint64
+	deadlineOf   *request
+	heapPosition int // position in the heap, from 0; -1 once it is removed
 }
 
 // timerHeap is a heap of timers, ordered by due time.
@@ -33,12 +33,12 @@
 
 func (t timerHeap) Swap(i, j int) {
 	t[i], t[j] = t[j], t[i]
-	t[i].index, t[j].index = i, j
+	t[i].heapPosition, t[j].heapPosition = i, j
 }
 
 // Push implements heap.Interface.
 func (t *timerHeap) Push(x any) {
-	x.(*timer).index = len(*t)
+	x.(*timer).heapPosition = len(*t)
 	*t = append(*t, x.(*timer))
 }
 
@@ -46,7 +46,7 @@
 func (t *timerHeap) Pop() any {
 	last := len(*t) - 1
 	removed := (*t)[last]
-	removed.index, (*t)[last] = -1, nil
+	removed.heapPosition, (*t)[last] = -1, nil
 	*t = (*t)[:last]
 	return removed
 }
--- a/internal/node/trace.go
+++ b/internal/node/trace.go
@@ -30,8 +30,8 @@
 	maxLoggedNames = 32
 )
 
-// requestLog logs requests: a line with the full history for each one that was not served, and a periodic summary of the
-// counts. Only the loop uses it.
+// requestLog logs a line with the history of each request that was not served, within limits, and a periodic summary of
+// the counts. Only the loop uses it.
 type requestLog struct {
 	metrics         *metrics
 	lineSecond      time.Duration // the second that linesByReason counts
@@ -43,15 +43,15 @@
 	outcomes                      map[string]int // of attempts, by code
 	opened                        int            // connections opened to servers
 	servers                       map[string]*serverStats
-	shedAtArrival                 int64         // requests refused on arrival
+	shedAtArrival                 int64         // requests refused on arrival because of the loop's lag
 	maxWait, maxHandling          time.Duration // longest wait and handling time of the loop's events
 }
 
 // serverStats counts the attempts at one server that ended since the last summary.
 type serverStats struct {
 	ended, ok  int
-	okTime     time.Duration // total time of the successful ones
-	lastReport []float64     // the most recent one
+	okTime     time.Duration // total time of the successful attempts
+	lastReport []float64     // the most recent load report
 }
 
 // increment adds one to a counter in a map, which is allocated on first use.
@@ -63,37 +63,37 @@
 }
 
 // mayWrite reports whether a line may be written for a reason, and counts it against this second's budget.
-func (t *requestLog) mayWrite(now policy.Time, reason string) bool {
-	if s := now.Truncate(time.Second); s != t.lineSecond {
-		t.lineSecond, t.linesByReason = s, nil
+func (l *requestLog) mayWrite(now policy.Time, reason string) bool {
+	if s := now.Truncate(time.Second); s != l.lineSecond {
+		l.lineSecond, l.linesByReason = s, nil
 	}
-	if t.linesByReason[reason] >= linesPerSecond {
-		t.suppressedLines++
+	if l.linesByReason[reason] >= linesPerSecond {
+		l.suppressedLines++
 		return false
 	}
-	increment(&t.linesByReason, reason)
+	increment(&l.linesByReason, reason)
 	return true
 }
 
 // mayWriteOnce is like mayWrite with a budget of one line per second.
-func (t *requestLog) mayWriteOnce(now policy.Time, reason string) bool {
-	if now.Truncate(time.Second) == t.lineSecond && t.linesByReason[reason] > 0 {
-		t.suppressedLines++
+func (l *requestLog) mayWriteOnce(now policy.Time, reason string) bool {
+	if now.Truncate(time.Second) == l.lineSecond && l.linesByReason[reason] > 0 {
+		l.suppressedLines++
 		return false
 	}
-	return t.mayWrite(now, reason)
+	return l.mayWrite(now, reason)
 }
 
 // recordLag records how long an event waited for the loop and how long it took to handle.
-func (t *requestLog) recordLag(waited, took time.Duration) {
-	t.maxWait, t.maxHandling = max(t.maxWait, waited), max(t.maxHandling, took)
+func (l *requestLog) recordLag(waited, took time.Duration) {
+	l.maxWait, l.maxHandling = max(l.maxWait, waited), max(l.maxHandling, took)
 }
 
 // recordShed records a request that was refused without the decision module.
-func (t *requestLog) recordShed(reason string) {
-	t.arrived++
-	increment(&t.refused, reason)
-	t.metrics.countShed(reason)
+func (l *requestLog) recordShed(reason string) {
+	l.arrived++
+	increment(&l.refused, reason)
+	l.metrics.countShed(reason)
 }
 
 // cpuTime returns the CPU time of the process since its start; 0 if it can't be read.
@@ -106,23 +106,23 @@
 }
 
 // recordAttempt records the end of an attempt, and logs a failed one with its underlying error.
-func (t *requestLog) recordAttempt(now policy.Time, r *request, n int, e attemptResult) {
+func (l *requestLog) recordAttempt(now policy.Time, r *request, n int, e attemptResult) {
 	a := &r.attempts[n]
 	a.took = now - a.sentAt
-	increment(&t.outcomes, e.code.String())
-	t.metrics.attempts.WithLabelValues(e.code.String()).Inc()
-	t.metrics.attemptTime.Observe(a.took.Seconds())
+	increment(&l.outcomes, e.code.String())
+	l.metrics.attempts.WithLabelValues(e.code.String()).Inc()
+	l.metrics.attemptTime.Observe(a.took.Seconds())
 	if e.opened {
-		t.opened++
-		t.metrics.serverConnsOpened.Inc()
+		l.opened++
+		l.metrics.serverConnsOpened.Inc()
 	}
-	if t.servers == nil {
-		t.servers = make(map[string]*serverStats)
+	if l.servers == nil {
+		l.servers = make(map[string]*serverStats)
 	}
-	s := t.servers[a.server]
+	s := l.servers[a.server]
 	if s == nil {
 		s = new(serverStats)
-		t.servers[a.server] = s
+		l.servers[a.server] = s
 	}
 	s.ended++
 	if e.code == policy.OK {
@@ -136,36 +136,36 @@
 	case policy.OK, policy.Full, policy.Cancelled:
 		return
 	}
-	if t.mayWrite(now, "attempt "+e.code.String()) {
+	if l.mayWrite(now, "attempt "+e.code.String()) {
 		slog.Warn("attempt failed", "id", r.req.ID, "server", a.server, "attempt", n, "outcome", e.code,
 			"took", a.took, "opened", e.opened, "reused", e.connRequests, "idle", e.connIdle, "err", e.err)
 	}
 }
 
 // recordEnd records how a request ended; by is the component that ended it, or the reason.
-func (t *requestLog) recordEnd(now policy.Time, r *request, a answer, by string) {
+func (l *requestLog) recordEnd(now policy.Time, r *request, a answer, by string) {
 	if len(r.attempts) == 0 {
-		t.metrics.holdTime.WithLabelValues(by).Observe((now - r.arrivedAt).Seconds())
+		l.metrics.holdTime.WithLabelValues(by).Observe((now - r.arrivedAt).Seconds())
 	}
 	level := slog.LevelInfo
 	switch {
 	case a.status == http.StatusOK:
-		t.served++
-		t.metrics.requests.WithLabelValues(resultServed).Inc()
+		l.served++
+		l.metrics.requests.WithLabelValues(resultServed).Inc()
 		return
 	case a.status == http.StatusTooManyRequests || a.status == http.StatusServiceUnavailable:
-		increment(&t.refused, by)
-		t.metrics.requests.WithLabelValues(resultRefused).Inc()
-		t.metrics.refusals.WithLabelValues(by).Inc()
+		increment(&l.refused, by)
+		l.metrics.requests.WithLabelValues(resultRefused).Inc()
+		l.metrics.refusals.WithLabelValues(by).Inc()
 	case a.status == 0:
-		t.gone++
-		t.metrics.requests.WithLabelValues(resultLeft).Inc()
+		l.gone++
+		l.metrics.requests.WithLabelValues(resultLeft).Inc()
 	default:
-		t.failed++
-		t.metrics.requests.WithLabelValues(resultFailed).Inc()
+		l.failed++
+		l.metrics.requests.WithLabelValues(resultFailed).Inc()
 		level = slog.LevelWarn
 	}
-	if !slog.Default().Enabled(context.Background(), level) || !t.mayWrite(now, by) {
+	if !slog.Default().Enabled(context.Background(), level) || !l.mayWrite(now, by) {
 		return
 	}
 	slog.Log(context.Background(), level, "not served", "id", r.req.ID, "class", r.req.Class,
@@ -191,13 +191,13 @@
 
 // serverSummary describes for each server how many attempts ended, how many of them succeeded, the mean time of these, and
 // its last load report. If there are more than maxSummaryServers, the least relevant are omitted and counted.
-func (t *requestLog) serverSummary() string {
+func (l *requestLog) serverSummary() string {
 	var b strings.Builder
-	ids := slices.Sorted(maps.Keys(t.servers))
+	ids := slices.Sorted(maps.Keys(l.servers))
 	omitted := len(ids) - maxSummaryServers
 	if omitted > 0 {
 		slices.SortStableFunc(ids, func(x, y string) int {
-			first, second := t.servers[x], t.servers[y]
+			first, second := l.servers[x], l.servers[y]
 			return cmp.Or(cmp.Compare(second.ended-second.ok, first.ended-first.ok), cmp.Compare(second.ended, first.ended))
 		})
 		ids = ids[:maxSummaryServers]
@@ -207,7 +207,7 @@
 		if i > 0 {
 			b.WriteByte(' ')
 		}
-		s := t.servers[id]
+		s := l.servers[id]
 		fmt.Fprintf(&b, "%s=%d/%d/%.0fms%.3g", id, s.ended, s.ok, s.okTime.Seconds()*1e3/float64(max(1, s.ok)), s.lastReport)
 	}
 	if omitted > 0 {
@@ -220,7 +220,7 @@
 // at a large site the log must not contain the whole list of tenants.
 func logSettings(settings policy.Settings) {
 	if n := len(settings.Classes); n > 0 {
-		least, most := settings.Classes[0], settings.Classes[0] // by aim
+		least, most := settings.Classes[0], settings.Classes[0] // those with the shortest and the longest aim
 		shortest, longest := least.Deadline, least.Deadline
 		for _, c := range settings.Classes {
 			if n <= maxLoggedNames {
@@ -260,11 +260,11 @@
 }
 
 // writeSummary logs the counts since the last summary and the state of the decision module, and resets the counts.
-func (t *requestLog) writeSummary(open, clients, evicted, queued int, moduleState string, monitor *invariant.Monitor) {
+func (l *requestLog) writeSummary(open, clients, evicted, queued int, moduleState string, monitor *invariant.Monitor) {
 	denied, violated := monitor.Counts()
-	slog.Info("summary", "clients", clients, "evicted", evicted, "arrived", t.arrived, "served", t.served, "refused", t.refused, "failed", t.failed,
-		"gone", t.gone, "open", open, "attempts", t.outcomes, "opened", t.opened,
-		"queued", queued, "most_waited", t.maxWait, "most_took", t.maxHandling, "shed_at_arrival", t.shedAtArrival, "processor_time", cpuTime(),
-		"denied", denied, "violations", violated, "lines_left_out", t.suppressedLines, "servers", t.serverSummary(), "module", moduleState)
-	*t = requestLog{metrics: t.metrics, lineSecond: t.lineSecond, linesByReason: t.linesByReason}
+	slog.Info("summary", "clients", clients, "evicted", evicted, "arrived", l.arrived, "served", l.served, "refused", l.refused, "failed", l.failed,
+		"gone", l.gone, "open", open, "attempts", l.outcomes, "opened", l.opened,
+		"queued", queued, "most_waited", l.maxWait, "most_took", l.maxHandling, "shed_at_arrival", l.shedAtArrival, "processor_time", cpuTime(),
+		"denied", denied, "violations", violated, "lines_left_out", l.suppressedLines, "servers", l.serverSummary(), "module", moduleState)
+	*l = requestLog{metrics: l.metrics, lineSecond: l.lineSecond, linesByReason: l.linesByReason}
 }
--- a/internal/node/upstream.go
+++ b/internal/node/upstream.go
@@ -25,19 +25,19 @@
 )
 
 const (
-	maxFramingFactor     = 8 // raw bytes that a chunked body may have for each byte of its content
+	maxFramingFactor     = 8 // limit of the raw bytes of a chunked body per byte of its content
 	maxInterimResponses  = 8 // 1xx responses before the final one
 	defaultConnIdle      = 60 * time.Second
 	stallTimeout         = 10 * time.Second       // without progress, for a body in transfer
 	earlyResponseTimeout = 250 * time.Millisecond // to read a response that a server sends before it has the whole request
-	// reuseDelay is how long a connection stays unused after a response. Responses carry no id: if the connection were
-	// reused at once, surplus bytes behind one response would be taken for the next. Duplicate responses arrive some
-	// milliseconds late, so a connection that was idle for preferredReuseDelay is taken first. Where there is none, one
-	// idle for reuseDelay is used all the same, since opening a new connection costs more than the longer delay gains.
+	// reuseDelay is the minimum time for which a connection stays idle after a response. Responses carry no id: if the
+	// connection were reused at once, surplus bytes after one response would be taken for the next. Duplicate responses
+	// arrive some milliseconds late, so connections that were idle for preferredReuseDelay are preferred. If there is none,
+	// one idle for reuseDelay is used, since opening a new connection costs more than the longer delay gains.
 	reuseDelay          = 3 * time.Millisecond
 	preferredReuseDelay = 10 * time.Millisecond
 	// unsolicitedReuseDelay replaces both for a server that sent unsolicited bytes within the last unsolicitedWindow:
-	// stray responses arrive some milliseconds late, and later still on a busy machine.
+	// duplicate responses arrive some milliseconds late, and later still on a busy machine.
 	unsolicitedReuseDelay = 50 * time.Millisecond
 	unsolicitedWindow     = 10 * time.Second
 	// A dial that failed for lack of local resources is retried for dialRetryFor, with a backoff.
@@ -56,8 +56,8 @@
 )
 
 // upstream makes attempts at servers over connections that it pools itself. It uses net/http's functions for writing
-// requests and reading responses but not http.Transport, which retries some requests on its own, each an attempt that the
-// decision module did not decide on, and which may take surplus bytes behind one response for the next response.
+// requests and reading responses but not http.Transport, which retries some requests by itself without a decision of the
+// decision module, and which may take surplus bytes after one response for the next response.
 type upstream struct {
 	dial        func(ctx context.Context, network, addr string) (net.Conn, error)
 	idleTimeout time.Duration // an idle connection is closed after this
@@ -68,8 +68,8 @@
 	readerPool  sync.Pool // of *bufio.Reader
 	bufferPool  sync.Pool // of *bytes.Buffer
 
-	// Client connections may borrow descriptors that are unused here: borrowed returns how many they hold, and reclaim
-	// takes one back. Both are nil where there is no listener for clients.
+	// Client connections may borrow descriptors that server connections don't use: borrowed returns how many they hold,
+	// and reclaim takes one back. Both are nil if there is no listener for clients.
 	borrowed func() int
 	reclaim  func() bool
 
@@ -77,13 +77,13 @@
 	pools        map[string]*connPool
 	idlePools    idlePoolHeap      // the pools that have idle connections, which are few even with many servers
 	serverByAddr map[string]string // server id by address of its pool
-	// Sequence numbers of received news, whether or not the loop has handled it: of the latest news that took a server
-	// out of service, by server id, and of the newest full list.
+	// Sequence numbers of received updates, including those that the loop has not handled yet: by server id, that of the
+	// latest update that listed the server as draining or removed; and that of the latest full list.
 	stopSequences    map[string]uint64
 	fullListSequence uint64
 	openConns        int          // connections, including those being established
-	maxOpen          int          // limit of openConns; the other descriptors belong to client connections
-	freeConns        atomic.Int64 // maxOpen - openConns, to be read without the mutex
+	maxOpenConns     int          // limit of openConns; the other descriptors belong to client connections
+	freeConns        atomic.Int64 // maxOpenConns - openConns, to be read without the mutex
 }
 
 // connPool holds the idle connections to one process of one server, the most recently used at the end.
@@ -92,14 +92,14 @@
 	upSince         int64
 	idle            []*serverConn
 	lastUnsolicited time.Time       // when its server last sent unsolicited bytes; zero: never
-	leaving         context.Context // done once no new request may be sent to the server
-	leave           context.CancelFunc
-	heapPosition    int // 1-based position in idlePools; 0: it has no idle connection
+	leavingCtx      context.Context // done as soon as no new request may be sent to the server
+	markLeaving     context.CancelFunc
+	heapPosition    int // position in idlePools, from 1; 0: it has no idle connection
 }
 
 func newConnPool(m discovery.Member) *connPool {
 	p := &connPool{addr: m.Addr, upSince: m.UpSince}
-	p.leaving, p.leave = context.WithCancel(context.Background())
+	p.leavingCtx, p.markLeaving = context.WithCancel(context.Background())
 	return p
 }
 
@@ -111,7 +111,7 @@
 	requests int // requests served on it
 }
 
-func newUpstream(c Config, maxOpen int) *upstream {
+func newUpstream(c Config, maxOpenConns int) *upstream {
 	connIdle := c.Settings.Allowed.ConnIdle
 	if connIdle == 0 {
 		connIdle = defaultConnIdle
@@ -120,7 +120,7 @@
 		dial:        (&net.Dialer{Timeout: c.ConnectTimeout, KeepAlive: -1}).DialContext,
 		idleTimeout: connIdle / 2, // closed well before the server does: a request sent just as the server closes would end in a reset
 		reportNames: c.Settings.Report, monitor: new(invariant.Monitor), unsolicited: newUnsolicitedCounter(), memory: newMemoryBudget(c.MemoryMB, c.Cores), pools: make(map[string]*connPool),
-		serverByAddr: make(map[string]string), stopSequences: make(map[string]uint64), maxOpen: maxOpen,
+		serverByAddr: make(map[string]string), stopSequences: make(map[string]uint64), maxOpenConns: maxOpenConns,
 		readerPool: sync.Pool{New: func() any { return bufio.NewReader(nil) }},
 		bufferPool: sync.Pool{New: func() any { return new(bytes.Buffer) }},
 	}
@@ -128,50 +128,51 @@
 	return u
 }
 
-// stopLeavingServers stops new requests to servers that are draining or gone according to news just received, before the
-// loop handles it: an attempt may be in progress, and the loop may be late.
-func (u *upstream) stopLeavingServers(heard receivedUpdate) {
+// stopLeavingServers stops new requests to servers that an update just received lists as draining or removed, or that are
+// missing from a full list, before the loop handles the update: the loop may be late, and attempts may be about to send
+// their first byte.
+func (u *upstream) stopLeavingServers(received receivedUpdate) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	running := make(map[string]bool, len(heard.Members))
-	for _, m := range heard.Members {
+	running := make(map[string]bool, len(received.Members))
+	for _, m := range received.Members {
 		if running[m.Server] = m.Availability == policy.Running; running[m.Server] {
 			continue
 		}
-		u.stopSequences[m.Server] = heard.sequence
+		u.stopSequences[m.Server] = received.sequence
 		if p := u.pools[m.Server]; p != nil {
-			p.leave()
+			p.markLeaving()
 		}
 	}
-	if heard.Kind == policy.ListUpdate {
+	if received.Kind == policy.ListUpdate {
 		return
 	}
-	u.fullListSequence = heard.sequence
+	u.fullListSequence = received.sequence
 	for id, p := range u.pools {
 		if !running[id] {
-			p.leave()
+			p.markLeaving()
 		}
 	}
 }
 
-// isOutdated reports whether news later than the given sequence number may have taken the server out of service.
+// isOutdated reports whether an update after the given sequence number may have listed the server as draining or removed.
 func (u *upstream) isOutdated(id string, sequence uint64) bool {
 	return sequence < u.stopSequences[id] || sequence < u.fullListSequence
 }
 
-// applyNewestList applies a list that no received news supersedes.
-func (u *upstream) applyNewestList(n discovery.Update) {
-	u.applyList(receivedUpdate{Update: n, sequence: math.MaxUint64})
+// applyNewestList applies a list that no received update supersedes.
+func (u *upstream) applyNewestList(update discovery.Update) {
+	u.applyList(receivedUpdate{Update: update, sequence: math.MaxUint64})
 }
 
-// applyList updates the pools from discovery news. A server that moved or restarted gets a new pool: connections to its
-// former process are useless.
-func (u *upstream) applyList(heard receivedUpdate) {
-	n := heard.Update
+// applyList updates the pools from a discovery update. A server that moved or restarted gets a new pool, since connections
+// to its former process can't be used any more.
+func (u *upstream) applyList(received receivedUpdate) {
+	update := received.Update
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	listed := make(map[string]bool, len(n.Members))
-	for _, m := range n.Members {
+	listed := make(map[string]bool, len(update.Members))
+	for _, m := range update.Members {
 		p := u.pools[m.Server]
 		listed[m.Server] = true
 		switch {
@@ -181,19 +182,19 @@
 			u.removePool(m.Server)
 			u.addPool(m)
 		}
-		outdated := u.isOutdated(m.Server, heard.sequence)
+		outdated := u.isOutdated(m.Server, received.sequence)
 		if !outdated {
 			delete(u.stopSequences, m.Server)
 		}
 		switch p = u.pools[m.Server]; {
 		case p == nil:
 		case m.Availability == policy.Draining || outdated:
-			p.leave()
-		case p.leaving.Err() != nil: // it is running after all
-			p.leaving, p.leave = context.WithCancel(context.Background())
+			p.markLeaving()
+		case p.leavingCtx.Err() != nil: // it is running after all
+			p.leavingCtx, p.markLeaving = context.WithCancel(context.Background())
 		}
 	}
-	if n.Kind == policy.ListUpdate {
+	if update.Kind == policy.ListUpdate {
 		return
 	}
 	for id := range u.pools {
@@ -201,7 +202,7 @@
 			u.removePool(id)
 		}
 	}
-	maps.DeleteFunc(u.stopSequences, func(_ string, sequence uint64) bool { return sequence <= heard.sequence })
+	maps.DeleteFunc(u.stopSequences, func(_ string, sequence uint64) bool { return sequence <= received.sequence })
 }
 
 // addPool creates a pool for m, unless a server that started later has the same address: of two servers at one address
@@ -220,15 +221,15 @@
 // removePool closes the pool of a server that is gone or was replaced.
 func (u *upstream) removePool(id string) {
 	if p := u.pools[id]; p != nil {
-		p.leave()
+		p.markLeaving()
 		u.closeOldest(p, len(p.idle))
 		delete(u.pools, id)
 		delete(u.serverByAddr, p.addr)
 	}
 }
 
-// isQuiet reports whether an idle connection is open and has no unread bytes. Unsolicited bytes are recorded.
-func (u *upstream) isQuiet(c *serverConn, now time.Time) bool {
+// isUsable reports whether an idle connection is open and has no unread bytes. It records unread bytes as unsolicited.
+func (u *upstream) isUsable(c *serverConn, now time.Time) bool {
 	n, err := peekConn(c.TCPConn)
 	if n > 0 {
 		u.recordUnsolicited(c.pool, now)
@@ -259,8 +260,8 @@
 	}
 }
 
-// idlePoolHeap is a heap of pools ordered by the last use of their longest-idle connection, so that the connection to
-// evict is found without visiting all pools.
+// idlePoolHeap is a heap of pools, the one with the longest-idle connection first, so that the connection to evict is
+// found without visiting all pools.
 type idlePoolHeap []*connPool
 
 func (h idlePoolHeap) Len() int           { return len(h) }
@@ -310,7 +311,7 @@
 	for _, p := range slices.Clone(u.idlePools) {
 		var kept []*serverConn
 		for _, c := range p.idle {
-			if now.Sub(c.lastUsed) < u.idleTimeout && u.isQuiet(c, now) {
+			if now.Sub(c.lastUsed) < u.idleTimeout && u.isUsable(c, now) {
 				kept = append(kept, c)
 				continue
 			}
@@ -324,26 +325,26 @@
 // close closes all idle connections; those in use are closed at the end of their attempts.
 func (u *upstream) close() { u.applyNewestList(discovery.Update{Kind: policy.ListReplace}) }
 
-// acquire takes an idle connection to the server, or opens one. It gives up as soon as the server begins to leave or the
-// client has left: neither allows a first byte to be sent, and connecting may take long.
-func (u *upstream) acquire(ctx, left context.Context, id string) (*serverConn, error) {
-	p, c, leaving, err := u.reserveConn(id)
+// acquire takes an idle connection to the server, or opens one. It gives up as soon as the server begins to leave or
+// requestCtx ends: in neither case may the first byte be sent any more, and connecting may take long.
+func (u *upstream) acquire(ctx, requestCtx context.Context, id string) (*serverConn, error) {
+	p, c, leavingCtx, err := u.reserveConn(id)
 	if c != nil || err != nil {
 		return c, err
 	}
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
-	defer context.AfterFunc(leaving, func() { cancel(errServerLeaving) })()
-	defer context.AfterFunc(left, func() { cancel(errClientLeft) })()
+	defer context.AfterFunc(leavingCtx, func() { cancel(errServerLeaving) })()
+	defer context.AfterFunc(requestCtx, func() { cancel(errClientLeft) })()
 	tcp, err := u.dialWithRetry(ctx, p.addr)
-	if err == nil && leaving.Err() != nil {
+	if err == nil && leavingCtx.Err() != nil {
 		tcp.Close()
 		err = errServerLeaving
 	}
 	if err != nil {
 		u.unreserveConn()
 		switch {
-		case leaving.Err() != nil:
+		case leavingCtx.Err() != nil:
 			return nil, errServerLeaving
 		case syserr.Retryable(err):
 			return nil, errNoSockets
@@ -365,15 +366,15 @@
 	return tcp, err
 }
 
-// reserveConn returns an idle connection that is ready for reuse, or else counts a new one, which the caller must open or
-// return by unreserveConn.
-func (u *upstream) reserveConn(id string) (p *connPool, c *serverConn, leaving context.Context, err error) {
+// reserveConn returns an idle connection that may be reused. If there is none, it counts a new connection as open, which
+// the caller must open, or uncount by unreserveConn.
+func (u *upstream) reserveConn(id string) (p *connPool, c *serverConn, leavingCtx context.Context, err error) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	switch p = u.pools[id]; {
 	case p == nil:
 		return nil, nil, nil, errUnknownServer
-	case p.leaving.Err() != nil:
+	case p.leavingCtx.Err() != nil:
 		return nil, nil, nil, errServerLeaving
 	}
 	now := time.Now()
@@ -383,17 +384,17 @@
 		copy(p.idle[i:], p.idle[i+1:])
 		p.idle[last] = nil
 		u.setIdle(p, p.idle[:last])
-		if now.Sub(c.lastUsed) < u.idleTimeout && u.isQuiet(c, now) {
-			return p, c, p.leaving, nil
+		if now.Sub(c.lastUsed) < u.idleTimeout && u.isUsable(c, now) {
+			return p, c, p.leavingCtx, nil
 		}
 		c.Close()
 		u.addOpen(-1)
 	}
-	if !u.makeRoom() {
+	if !u.ensureDescriptor() {
 		return nil, nil, nil, errNoSockets
 	}
 	u.addOpen(1)
-	return p, nil, p.leaving, nil
+	return p, nil, p.leavingCtx, nil
 }
 
 // reusableIndex returns the index of the idle connection to use next: the most recently used one past
@@ -413,29 +414,30 @@
 	return -1
 }
 
-// makeRoom finds a descriptor for one more connection: a free one, one lent to clients, or that of an idle connection.
-func (u *upstream) makeRoom() bool {
-	if u.openConns >= u.maxOpen {
+// ensureDescriptor makes sure that there is a descriptor for one more connection: an unused one, one that is reclaimed
+// from client connections, or that of an idle connection, which is closed.
+func (u *upstream) ensureDescriptor() bool {
+	if u.openConns >= u.maxOpenConns {
 		return u.evict()
 	}
-	return u.borrowed == nil || u.openConns+u.borrowed() < u.maxOpen || u.reclaim() || u.evict()
+	return u.borrowed == nil || u.openConns+u.borrowed() < u.maxOpenConns || u.reclaim() || u.evict()
 }
 
-// addOpen adds n to the number of open connections.
+// addOpen adds n, which may be negative, to the number of open connections and updates freeConns.
 func (u *upstream) addOpen(n int) {
 	u.openConns += n
-	u.freeConns.Store(int64(u.maxOpen - u.openConns))
+	u.freeConns.Store(int64(u.maxOpenConns - u.openConns))
 }
 
-// available returns how many descriptors client connections may borrow: half of the free ones.
-func (u *upstream) available() int { return int(u.freeConns.Load() / 2) }
+// spareDescriptors returns how many descriptors client connections may borrow: half of the unused ones.
+func (u *upstream) spareDescriptors() int { return int(u.freeConns.Load() / 2) }
 
-// setMaxOpen changes the limit of open connections and closes idle ones beyond it.
-func (u *upstream) setMaxOpen(maxOpen int) {
+// setMaxOpenConns changes the limit of open connections and closes idle ones beyond it.
+func (u *upstream) setMaxOpenConns(maxOpenConns int) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	u.maxOpen = maxOpen
-	for u.openConns > u.maxOpen && u.evict() {
+	u.maxOpenConns = maxOpenConns
+	for u.openConns > u.maxOpenConns && u.evict() {
 	}
 	u.addOpen(0)
 }
@@ -447,14 +449,14 @@
 	return u.openConns
 }
 
-// openLimit returns the limit of open connections.
-func (u *upstream) openLimit() int {
+// openConnLimit returns the limit of open connections.
+func (u *upstream) openConnLimit() int {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	return u.maxOpen
+	return u.maxOpenConns
 }
 
-// unreserveConn uncounts a connection that could not be opened.
+// unreserveConn removes a connection that could not be opened from the count of open connections.
 func (u *upstream) unreserveConn() {
 	u.mu.Lock()
 	u.addOpen(-1)
@@ -470,8 +472,8 @@
 	return true
 }
 
-// returnUnused returns a connection on which no byte was written to its pool. Its idle time still counts from its last use,
-// as it does for the server.
+// returnUnused returns a connection to its pool if no byte was written on it. Its idle time still counts from its last
+// use, as it does at the server.
 func (u *upstream) returnUnused(c *serverConn, id string) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
@@ -510,7 +512,7 @@
 	code       policy.Code
 	answer     answer // for OK
 	report     []float64
-	uploadTime time.Duration // time to forward a large body, which is not counted as the server's latency
+	uploadTime time.Duration // time to forward a large body, not included in the server's latency
 
 	// For the log.
 	opened       bool          // the attempt opened a new connection, or tried to
@@ -519,39 +521,39 @@
 	err          error         // the underlying error
 }
 
-// attemptParams are the limits of an attempt and the functions that it reports to.
+// attemptParams are the limits of an attempt and the callbacks that it reports to.
 type attemptParams struct {
 	deadline       time.Time           // when the attempt times out; extended by the time that a large body takes to forward
 	beginBy        time.Time           // latest time to send the first byte; zero: no limit
 	clientDeadline time.Time           // when the client stops waiting; zero: not known yet
-	clientGone     context.Context     // done when the client has left or has its response; no attempt may begin after that
+	requestCtx     context.Context     // done when the client has left or has its response; no attempt may begin after that
 	onUploaded     func(time.Duration) // called when a large body was forwarded completely, with the time it took
-	onEnd          func(attemptResult) // called once; for a large response when its beginning has been read
+	onEnd          func(attemptResult) // called once: at the end of the attempt, or when the beginning of a large response has been read
 }
 
 var errAttemptTimedOut = errors.New("attempt timed out")
 
 // sendAttempt sends x to the server once and waits for the response until the attempt times out or ctx ends. Either closes
-// the connection, which tells the server that nobody waits any more. It reports the result to the callbacks, and returns
-// once the last byte of a response has been forwarded.
+// the connection, so that the server can detect that the response is no longer needed. sendAttempt reports the result to
+// the callbacks, and returns once the last byte of a response has been forwarded.
 func (u *upstream) sendAttempt(ctx context.Context, id string, x *clientRequest, params attemptParams) {
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
-	limit := time.AfterFunc(time.Until(params.deadline), func() { cancel(errAttemptTimedOut) })
-	defer limit.Stop()
+	attemptTimer := time.AfterFunc(time.Until(params.deadline), func() { cancel(errAttemptTimedOut) })
+	defer attemptTimer.Stop()
 	if x.bodyRest != nil {
-		limit.Stop() // streamRequest restarts it
+		attemptTimer.Stop() // streamRequest restarts it
 	}
 	beginCtx, cancelBegin := ctx, context.CancelFunc(func() {})
 	if !params.beginBy.IsZero() {
 		beginCtx, cancelBegin = context.WithDeadlineCause(ctx, params.beginBy, errRepeatWindowOver)
 	}
-	c, err := u.acquire(beginCtx, params.clientGone, id)
+	c, err := u.acquire(beginCtx, params.requestCtx, id)
 	stopCause := context.Cause(beginCtx)
 	cancelBegin()
 	denied := u.checkWrite(c, x, params, err, stopCause)
 	if denied != invariant.None {
-		u.monitor.Deny(denied)
+		u.monitor.RecordDenial(denied)
 	}
 	if err == nil && denied != invariant.None {
 		u.returnUnused(c, id)
@@ -565,52 +567,52 @@
 		return
 	case denied == invariant.SendToLeavingServer && err == nil:
 		err = errServerLeaving
-	case denied == invariant.AttemptAfterDeadline && err == nil: // this process was late; not the server's fault
+	case denied == invariant.AttemptAfterDeadline && err == nil: // this process was late, which must not count against the server
 		params.onEnd(attemptResult{code: policy.NotSent, err: errAttemptTimedOut})
 		return
 	}
 	switch {
 	case (errors.Is(err, errNoSockets) || errors.Is(err, errRepeatWindowOver)) && ctx.Err() == nil:
-		params.onEnd(attemptResult{code: policy.NotSent}) // nothing was sent; not the server's fault
+		params.onEnd(attemptResult{code: policy.NotSent}) // nothing was sent, which must not count against the server
 		return
 	case err != nil:
 		params.onEnd(attemptResult{code: classifyError(ctx, err, false), opened: !errors.Is(err, errUnknownServer) && !errors.Is(err, errServerLeaving), err: err})
 		return
 	}
-	uses, idle := c.requests, time.Duration(0)
-	if uses > 0 {
-		idle = time.Since(c.lastUsed)
+	connRequests, connIdle := c.requests, time.Duration(0)
+	if connRequests > 0 {
+		connIdle = time.Since(c.lastUsed)
 	}
 	stop := context.AfterFunc(ctx, func() { c.Close() })
-	t := &exchange{upstream: u, conn: c, clientRequest: x, params: params, attemptTimer: limit}
-	r, reusable := t.roundTrip(ctx)
-	r.opened, r.connRequests, r.connIdle, r.uploadTime = uses == 0, uses, idle, t.uploadTime
-	if t.surplusBytes {
+	e := &exchange{upstream: u, conn: c, clientRequest: x, params: params, attemptTimer: attemptTimer}
+	r, reusable := e.roundTrip(ctx)
+	r.opened, r.connRequests, r.connIdle, r.uploadTime = connRequests == 0, connRequests, connIdle, e.uploadTime
+	if e.surplusBytes {
 		u.mu.Lock()
 		u.recordUnsolicited(c.pool, time.Now())
 		u.mu.Unlock()
 	}
-	download := r.answer.stream
-	if download == nil {
+	stream := r.answer.stream
+	if stream == nil {
 		u.release(c, id, stop() && reusable)
 		params.onEnd(r)
 		return
 	}
-	if !limit.Stop() { // it timed out just before
+	if !attemptTimer.Stop() { // it timed out just before
 		r.answer.discard()
 		r.answer, r.code = answer{}, policy.TimedOut
 	} // otherwise the rest of the response is not subject to the timeout
 	params.onEnd(r)
-	err = <-download.ended
-	reusable = err == nil && !t.response.Close && t.reader.Buffered() == 0 && c.SetReadDeadline(time.Time{}) == nil
-	t.releaseReader()
+	err = <-stream.ended
+	reusable = err == nil && !e.response.Close && e.reader.Buffered() == 0 && c.SetReadDeadline(time.Time{}) == nil
+	e.releaseReader()
 	u.release(c, id, stop() && reusable)
 }
 
-// checkWrite returns the rule that writing the first byte of an attempt would break now, or invariant.None.
+// checkWrite returns the rule that writing the first byte of an attempt would violate now, or invariant.None.
 func (u *upstream) checkWrite(c *serverConn, x *clientRequest, params attemptParams, acquireErr, stopCause error) invariant.Rule {
 	return invariant.MayWrite(invariant.Write{
-		ClientLeft:    params.clientGone.Err() != nil || x.bodyRest == nil && x.client.presence() != clientPresent,
+		ClientLeft:    params.requestCtx.Err() != nil || x.bodyRest == nil && x.client.presence() != clientPresent,
 		ServerUnknown: errors.Is(acquireErr, errUnknownServer),
 		ServerLeaving: errors.Is(acquireErr, errServerLeaving) || c != nil && u.isLeaving(c.pool),
 		WindowOver:    errors.Is(stopCause, errRepeatWindowOver),
@@ -623,5 +625,5 @@
 func (u *upstream) isLeaving(p *connPool) bool {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	return p.leaving.Err() != nil
+	return p.leavingCtx.Err() != nil
 }
--- a/internal/node/upstream_test.go
+++ b/internal/node/upstream_test.go
@@ -37,7 +37,7 @@
 // runAttemptOn makes one attempt at a server and reads its complete response. If the response is truncated, the attempt
 // has failed.
 func runAttemptOn(ctx context.Context, u *upstream, serverID string, x *clientRequest, deadline time.Time) (r attemptResult) {
-	u.sendAttempt(ctx, serverID, x, attemptParams{deadline: deadline, clientGone: context.Background(), onUploaded: func(time.Duration) {}, onEnd: func(e attemptResult) {
+	u.sendAttempt(ctx, serverID, x, attemptParams{deadline: deadline, requestCtx: context.Background(), onUploaded: func(time.Duration) {}, onEnd: func(e attemptResult) {
 		if r = e; r.answer.stream == nil {
 			r.answer.reserved.release()
 			return
@@ -292,7 +292,7 @@
 	slow := startHTTPServer(t, func(http.ResponseWriter, *http.Request) { <-hold })
 	fast := startHTTPServer(t, func(http.ResponseWriter, *http.Request) {})
 	u := testUpstream(t, fast, slow)
-	u.maxOpen = 1
+	u.maxOpenConns = 1
 	if r := runAttempt(t, u, testClientRequest(http.MethodGet, "r1", "")); r.code != policy.OK {
 		t.Fatalf("code %v", r.code)
 	}
@@ -633,7 +633,7 @@
 	clientGone, disconnect := context.WithCancel(t.Context())
 	disconnect()
 	var result attemptResult
-	u.sendAttempt(t.Context(), "s0", testClientRequest(http.MethodGet, "r2", ""), attemptParams{deadline: time.Now().Add(testTimeout), clientGone: clientGone,
+	u.sendAttempt(t.Context(), "s0", testClientRequest(http.MethodGet, "r2", ""), attemptParams{deadline: time.Now().Add(testTimeout), requestCtx: clientGone,
 		onUploaded: func(time.Duration) {}, onEnd: func(r attemptResult) { result = r }})
 	if result.code != policy.Cancelled {
 		t.Errorf("an attempt whose client has left: %v, %v", result.code, result.err)
--- a/internal/scale/hollow.go
+++ b/internal/scale/hollow.go
@@ -44,7 +44,7 @@
 	return len(s.entries)
 }
 
-// last returns the revision that came into force last, or 0 if there is none yet.
+// lastRevision returns the revision that came into force last, or 0 if there is none yet.
 func (s *revisionHistory) lastRevision() int64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -100,7 +100,7 @@
 }
 
 // hollowService runs hollow nodes in this process and answers the parent's calls. The nodes share the settings and
-// the known list, so the memory of these counts as used before the nodes were started.
+// the known list. Both are loaded before baseHeap and baseRSS are read, so the nodes' measured memory excludes them.
 type hollowService struct {
 	logBytes          atomic.Int64
 	mu                sync.Mutex
@@ -145,7 +145,7 @@
 	if err != nil {
 		return err
 	}
-	world, raw = nil, nil
+	world, raw = nil, nil // not needed any more, so heapAndRSS can free them
 	s.baseHeap, s.baseRSS = heapAndRSS()
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -161,15 +161,15 @@
 
 func (n *hollowNode) start() {
 	ctx, stop := context.WithCancel(context.Background())
-	ended := make(chan struct{})
-	n.stop, n.exited = stop, ended
+	exited := make(chan struct{})
+	n.stop, n.exited = stop, exited
 	go func() {
-		defer close(ended)
+		defer close(exited)
 		err := node.RunHollow(ctx, n.config, func(revision int64, at time.Time) {
 			n.history.add(revisionTime{revision, at.UnixNano()})
 		})
 		if err != nil && ctx.Err() == nil {
-			slog.New(slog.NewTextHandler(os.Stderr, nil)).Error("hollow node", "name", n.config.Name, "err", err)
+			slog.New(slog.NewTextHandler(os.Stderr, nil)).Error("hollow node failed", "name", n.config.Name, "err", err)
 		}
 	}()
 }
@@ -276,7 +276,7 @@
 func (s *registryService) Start(args RegistryArgs, addresses *[]string) (err error) {
 	s.world = NewWorld(args.Step, args.Seed, args.Port)
 	s.rng = rand.New(rand.NewPCG(args.Seed, 1))
-	s.registry, err = StartRegistry(RegistryConfig{Listeners: args.Listeners, Plan: args.Step.Discovery,
+	s.registry, err = StartRegistry(RegistryConfig{Listeners: args.Listeners, Limits: args.Step.Discovery,
 		Members: s.world.Members()})
 	if err != nil {
 		return err
@@ -325,8 +325,8 @@
 	return nil
 }
 
-// Fail starts a fault of discovery and returns at once, or carries out the loss of a zone and returns once the zone is
-// back, with the number of changes that this made.
+// Fail injects a fault. A fault of discovery runs in the background, and Fail returns at once. For the loss of a zone,
+// it returns once the zone is back, with the number of list changes made.
 func (s *registryService) Fail(fault Fault, changes *int) error {
 	switch fault.Kind {
 	case ZoneLost:
@@ -342,7 +342,8 @@
 }
 
 // applyZoneChanges changes the entries of the last zone one by one, at even intervals over the given duration, or all
-// of them in one change if the duration is 0. It returns the number of changes made.
+// of them in one change if the duration is 0. The function change returns the changed i-th entry of the zone, or all
+// for -1. applyZoneChanges returns the number of changes made.
 func (s *registryService) applyZoneChanges(begin time.Time, duration time.Duration, change func(i int) []Entry) int {
 	n := 1
 	if duration > 0 {
@@ -365,7 +366,7 @@
 	Step Step
 	Seed uint64
 	Port int
-	Work time.Duration // mean time that a request takes
+	Work time.Duration // mean processing time of a request
 }
 
 // transcribersService runs the stand-ins for transcribers and answers the parent's calls.
--- a/internal/scale/load.go
+++ b/internal/scale/load.go
@@ -65,10 +65,10 @@
 // send makes one request and counts its result. Latency is measured from the planned time of sending, so that a
 // delay in sending counts too.
 func (l *loadGenerator) send(ctx context.Context, transport *http.Transport, request *http.Request,
-	planned time.Time, limit time.Duration) {
-	ctx, cancel := context.WithDeadline(ctx, planned.Add(limit))
+	planned time.Time, timeout time.Duration) {
+	ctx, cancel := context.WithDeadline(ctx, planned.Add(timeout))
 	defer cancel()
-	status, held, err := l.exchange(transport, request.WithContext(ctx))
+	status, processing, err := l.exchange(transport, request.WithContext(ctx))
 	took := time.Since(planned)
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -78,7 +78,7 @@
 		l.result.Failed++
 	case status == http.StatusOK:
 		l.result.Served++
-		recordValue(l.addedLatency, (took - held).Microseconds())
+		recordValue(l.addedLatency, (took - processing).Microseconds())
 	case status == http.StatusTooManyRequests || status == http.StatusServiceUnavailable:
 		l.result.Refused++
 	default:
@@ -86,10 +86,10 @@
 	}
 }
 
-// exchange makes the request and returns the response's status and, if that is 200, how long the transcriber had held
-// the request.
+// exchange makes the request and returns the response's status and, if that is 200, the processing time that the
+// transcriber reports in the body.
 func (l *loadGenerator) exchange(transport *http.Transport, request *http.Request) (
-	status int, held time.Duration, err error,
+	status int, processing time.Duration, err error,
 ) {
 	response, err := transport.RoundTrip(request)
 	if err != nil {
@@ -101,10 +101,10 @@
 		return response.StatusCode, 0, err
 	}
 	var content struct {
-		Held *int64 `json:"held_us"`
+		Processing *int64 `json:"held_us"`
 	}
-	if err := json.Unmarshal(body, &content); err != nil || content.Held == nil {
-		return 0, 0, fmt.Errorf("answer without held_us: %.80q", body)
+	if err := json.Unmarshal(body, &content); err != nil || content.Processing == nil {
+		return 0, 0, fmt.Errorf("response without held_us: %.80q", body)
 	}
-	return response.StatusCode, time.Duration(*content.Held) * time.Microsecond, nil
+	return response.StatusCode, time.Duration(*content.Processing) * time.Microsecond, nil
 }
--- a/internal/scale/module.go
+++ b/internal/scale/module.go
@@ -31,12 +31,12 @@
 	Servers          int      `json:"servers"`
 	Classes          int      `json:"classes"`
 	Tenants          int      `json:"tenants"`
-	SetupMillis      *float64 `json:"new_ms,omitempty"`   // creating the module from its settings and applying the first list
-	HeapMiB          *float64 `json:"heap_mib,omitempty"` // growth after a collection, without the settings
-	EntryChange      *OpCost  `json:"one_changed_entry,omitempty"`
-	WholeList        *OpCost  `json:"whole_list,omitempty"`
-	Request          *OpCost  `json:"request_and_outcome,omitempty"`
-	AdmittedFraction *float64 `json:"requests_admitted_part,omitempty"` // fraction of the requests; a refused request costs less
+	SetupMillis      *float64 `json:"new_ms,omitempty"`                 // creating the module from its settings and applying the first list
+	HeapMiB          *float64 `json:"heap_mib,omitempty"`               // heap growth from this after a garbage collection, without the settings
+	EntryChange      *OpCost  `json:"one_changed_entry,omitempty"`      // a list update with one entry
+	FullList         *OpCost  `json:"whole_list,omitempty"`             // a full list
+	Request          *OpCost  `json:"request_and_outcome,omitempty"`    // a request and, if it is admitted, its outcome
+	AdmittedFraction *float64 `json:"requests_admitted_part,omitempty"` // refused requests cost less
 }
 
 // OpCost holds the time and the allocations of one operation, measured over many runs of it.
@@ -72,34 +72,34 @@
 
 // handle passes an event to the module and registers the timers that it sets. It returns whether the module sends
 // an attempt, and to which server.
-func (h *moduleDriver) handle(event policy.Event) (server string, sent bool) {
-	for _, action := range h.module.Handle(h.now, event) {
+func (d *moduleDriver) handle(event policy.Event) (server string, sent bool) {
+	for _, action := range d.module.Handle(d.now, event) {
 		switch action.Kind {
 		case policy.Send:
 			server, sent = action.Server, true
 		case policy.SetTimer:
-			heap.Push(&h.timers, moduleTimer{h.now + action.Wait, action.Token})
+			heap.Push(&d.timers, moduleTimer{d.now + action.Wait, action.Token})
 		}
 	}
 	return server, sent
 }
 
 // advanceTo moves the clock to a later time and fires the timers that come due on the way.
-func (h *moduleDriver) advanceTo(to policy.Time) {
-	for len(h.timers) > 0 && h.timers[0].dueAt <= to {
-		t := heap.Pop(&h.timers).(moduleTimer)
-		h.now = max(h.now, t.dueAt)
-		h.handle(policy.Timer{Token: t.token})
+func (d *moduleDriver) advanceTo(to policy.Time) {
+	for len(d.timers) > 0 && d.timers[0].dueAt <= to {
+		t := heap.Pop(&d.timers).(moduleTimer)
+		d.now = max(d.now, t.dueAt)
+		d.handle(policy.Timer{Token: t.token})
 	}
-	h.now = to
+	d.now = to
 }
 
 // serveRequest passes in a request and, if it is admitted, a successful outcome of its attempt. It returns whether it
 // was admitted.
-func (h *moduleDriver) serveRequest(r policy.Request) bool {
-	server, sent := h.handle(r)
+func (d *moduleDriver) serveRequest(r policy.Request) bool {
+	server, sent := d.handle(r)
 	if sent {
-		h.handle(policy.Outcome{ID: r.ID, Server: server, Code: policy.OK, Latency: attemptLatency, Ended: true})
+		d.handle(policy.Outcome{ID: r.ID, Server: server, Code: policy.OK, Latency: attemptLatency, Ended: true})
 	}
 	return sent
 }
@@ -126,7 +126,7 @@
 	return members
 }
 
-// measureModule measures the decision module of node 0.
+// measureModule measures the decision module with the settings of one node and the world's initial list.
 func measureModule(ctx context.Context, w *World, settings policy.Settings, seed uint64) (*ModuleResult, error) {
 	members := policyMembers(w.Members())
 	result := &ModuleResult{Servers: len(members), Classes: len(settings.Classes), Tenants: len(settings.Tenants)}
@@ -161,7 +161,7 @@
 		driver.advanceTo(driver.now + interval)
 		driver.handle(policy.MemberList{Kind: policy.ListUpdate, Members: update})
 	})
-	result.WholeList = timeOps(ctx, maxBenchOps, func(int) {
+	result.FullList = timeOps(ctx, maxBenchOps, func(int) {
 		driver.advanceTo(driver.now + interval)
 		driver.handle(policy.MemberList{Kind: policy.ListReplace, Members: members})
 	})
--- a/internal/scale/plan.go
+++ b/internal/scale/plan.go
@@ -1,5 +1,6 @@
-// Package scale measures nodes at fleet sizes that one machine can run only in part. It runs stand-ins for discovery
-// and the transcribers, a few real nodes, and hollow nodes that share processes.
+// Package scale measures nodes in fleets that are too large to run completely on one machine. It runs stand-ins for
+// discovery and the transcribers, a few real nodes in a process each, and hollow nodes, which have no client sockets
+// and share processes.
 package scale
 
 import (
@@ -42,12 +43,12 @@
 	Quiet  Duration `toml:"quiet"`  // without requests
 	Loaded Duration `toml:"loaded"` // with requests
 
-	Discovery DiscoveryPlan `toml:"discovery"`
-	Faults    []Fault       `toml:"fault"`
+	Discovery DiscoveryLimits `toml:"discovery"`
+	Faults    []Fault         `toml:"fault"`
 }
 
-// DiscoveryPlan limits the throughput of the stand-in for discovery.
-type DiscoveryPlan struct {
+// DiscoveryLimits limits the throughput of the stand-in for discovery.
+type DiscoveryLimits struct {
 	CallsPerSecond float64  `toml:"calls_per_second"` // calls are served one by one at this rate; 0: no limit
 	QueueLimit     Duration `toml:"queue_limit"`      // calls that wait in the queue for longer fail with 503; 0: no limit
 }
@@ -133,15 +134,15 @@
 	if present.Seed == nil {
 		p.Seed = 1
 	}
-	for i, g := range present.Steps {
+	for i, given := range present.Steps {
 		s := &p.Steps[i]
-		if g.Zones == nil {
+		if given.Zones == nil {
 			s.Zones = 1
 		}
-		if g.Quiet == nil {
+		if given.Quiet == nil {
 			s.Quiet.Duration = defaultPeriod
 		}
-		if g.Loaded == nil {
+		if given.Loaded == nil {
 			s.Loaded.Duration = defaultPeriod
 		}
 	}
@@ -171,30 +172,30 @@
 // fieldChecker keeps the error of the first field that is out of its range.
 type fieldChecker struct{ err error }
 
-func (b *fieldChecker) fail(field, want string, got any) {
-	if b.err == nil {
-		b.err = fmt.Errorf("%s: want %s, got %v", field, want, got)
+func (c *fieldChecker) fail(field, want string, got any) {
+	if c.err == nil {
+		c.err = fmt.Errorf("%s: want %s, got %v", field, want, got)
 	}
 }
 
-func (b *fieldChecker) checkInt(field string, got, minimum, maximum int) {
+func (c *fieldChecker) checkInt(field string, got, minimum, maximum int) {
 	switch {
 	case got < minimum:
-		b.fail(field, fmt.Sprintf("%d or more", minimum), got)
+		c.fail(field, fmt.Sprintf("%d or more", minimum), got)
 	case got > maximum:
-		b.fail(field, fmt.Sprintf("%d or less", maximum), got)
+		c.fail(field, fmt.Sprintf("%d or less", maximum), got)
 	}
 }
 
-func (b *fieldChecker) checkRate(field string, got float64) {
+func (c *fieldChecker) checkRate(field string, got float64) {
 	if !(got >= 0 && got <= maxRate) {
-		b.fail(field, fmt.Sprintf("0 to %d a second", maxRate), got)
+		c.fail(field, fmt.Sprintf("0 to %d a second", maxRate), got)
 	}
 }
 
-func (b *fieldChecker) checkDuration(field string, got Duration, minimum, maximum time.Duration) {
+func (c *fieldChecker) checkDuration(field string, got Duration, minimum, maximum time.Duration) {
 	if got.Duration < minimum || got.Duration > maximum {
-		b.fail(field, fmt.Sprintf("%v to %v", minimum, maximum), got)
+		c.fail(field, fmt.Sprintf("%v to %v", minimum, maximum), got)
 	}
 }
 
--- a/internal/scale/real.go
+++ b/internal/scale/real.go
@@ -75,8 +75,8 @@
 	for {
 		line, err := r.ReadSlice('\n')
 		n.logBytes.Add(int64(len(line)))
-		if s, ok := parseInForce(line); ok {
-			n.history.add(s)
+		if inForce, ok := parseInForce(line); ok {
+			n.history.add(inForce)
 		}
 		if line = bytes.TrimSpace(line); len(line) > 0 {
 			n.mu.Lock()
