--- a/internal/scale/registry.go
+++ b/internal/scale/registry.go
@@ -18,7 +18,7 @@
 
 const (
 	maxWatchWait           = time.Minute // upper bound of the wait parameter (PROTOCOL, Discovery)
-	maxLogEntries          = 4096        // entries in the change log; a watch from an older revision gets the whole list
+	maxLogEntries          = 4096        // entries in the change log; a watch from an older revision gets the full list
 	maxCachedDeltas        = 64          // encoded deltas cached per current revision
 	registryMaxHeaderBytes = 8 << 10     // bytes
 	readHeaderTimeout      = 10 * time.Second
@@ -30,38 +30,38 @@
 // RegistryConfig configures a Registry. Members is the list at revision 1.
 type RegistryConfig struct {
 	Listeners int // each has its own port, so that traffic can be attributed to nodes
-	Plan      DiscoveryPlan
+	Limits    DiscoveryLimits
 	Members   []Entry
 }
 
 // RegistryStats are the totals of one listener since the start. BytesIn and BytesOut count everything on the
-// connections, including headers; DeltaBytes and WholeBytes count response bodies only.
+// connections, including headers; DeltaBytes and FullListBytes count response bodies only.
 type RegistryStats struct {
-	Connections int64 `json:"connections"` // accepted
-	Open        int64 `json:"open"`        // connections open now
-	WatchCalls  int64 `json:"watch_calls"`
-	WholeCalls  int64 `json:"whole_calls"` // calls without an index parameter
-	Deltas      int64 `json:"deltas"`      // responses with changed entries
-	EmptyDeltas int64 `json:"empty_deltas"`
-	WholeLists  int64 `json:"whole_lists"`
-	Failures    int64 `json:"failures"` // calls that ended without a list: 503, or the connection closed first
-	BytesIn     int64 `json:"bytes_in"`
-	BytesOut    int64 `json:"bytes_out"`
-	DeltaBytes  int64 `json:"delta_bytes"`
-	WholeBytes  int64 `json:"whole_bytes"`
+	Connections   int64 `json:"connections"` // accepted
+	Open          int64 `json:"open"`        // connections open now
+	WatchCalls    int64 `json:"watch_calls"`
+	FullListCalls int64 `json:"whole_calls"` // calls without an index parameter
+	Deltas        int64 `json:"deltas"`      // responses with changed entries
+	EmptyDeltas   int64 `json:"empty_deltas"`
+	FullLists     int64 `json:"whole_lists"`
+	Failures      int64 `json:"failures"` // calls that ended without a list: 503, or the connection closed first
+	BytesIn       int64 `json:"bytes_in"`
+	BytesOut      int64 `json:"bytes_out"`
+	DeltaBytes    int64 `json:"delta_bytes"`
+	FullListBytes int64 `json:"whole_bytes"`
 }
 
 // registryCounters are the live counters behind RegistryStats.
 type registryCounters struct {
-	connections, open, watchCalls, wholeCalls, deltas, emptyDeltas, wholeLists, failures,
-	bytesIn, bytesOut, deltaBytes, wholeBytes atomic.Int64
+	connections, open, watchCalls, fullListCalls, deltas, emptyDeltas, fullLists, failures,
+	bytesIn, bytesOut, deltaBytes, fullListBytes atomic.Int64
 }
 
 func (c *registryCounters) stats() RegistryStats {
 	return RegistryStats{Connections: c.connections.Load(), Open: c.open.Load(), WatchCalls: c.watchCalls.Load(),
-		WholeCalls: c.wholeCalls.Load(), Deltas: c.deltas.Load(), EmptyDeltas: c.emptyDeltas.Load(),
-		WholeLists: c.wholeLists.Load(), Failures: c.failures.Load(), BytesIn: c.bytesIn.Load(),
-		BytesOut: c.bytesOut.Load(), DeltaBytes: c.deltaBytes.Load(), WholeBytes: c.wholeBytes.Load()}
+		FullListCalls: c.fullListCalls.Load(), Deltas: c.deltas.Load(), EmptyDeltas: c.emptyDeltas.Load(),
+		FullLists: c.fullLists.Load(), Failures: c.failures.Load(), BytesIn: c.bytesIn.Load(),
+		BytesOut: c.bytesOut.Load(), DeltaBytes: c.deltaBytes.Load(), FullListBytes: c.fullListBytes.Load()}
 }
 
 // Registry simulates the discovery service (PROTOCOL, Discovery): it serves one list on several listeners. Its
@@ -137,9 +137,9 @@
 	if c.Listeners < 1 {
 		return nil, fmt.Errorf("discovery: listeners: want 1 or more, got %d", c.Listeners)
 	}
-	r := &Registry{changed: make(chan struct{}), queue: callQueue{maxWait: c.Plan.QueueLimit.Duration}}
-	if c.Plan.CallsPerSecond > 0 {
-		r.queue.timePerCall = time.Duration(float64(time.Second) / c.Plan.CallsPerSecond)
+	r := &Registry{changed: make(chan struct{}), queue: callQueue{maxWait: c.Limits.QueueLimit.Duration}}
+	if c.Limits.CallsPerSecond > 0 {
+		r.queue.timePerCall = time.Duration(float64(time.Second) / c.Limits.CallsPerSecond)
 	}
 	r.list.init(c.Members)
 	r.ctx, r.cancel = context.WithCancel(context.Background())
@@ -291,10 +291,11 @@
 	log           []loggedEntry  // the latest changed entries, oldest first
 	completeSince int64          // the log holds every change after this revision
 
-	cachedDeltas map[int64][]byte // encoded changes from a revision to the current one
-	cachedWhole  []byte           // encoded list at the current revision; nil if not encoded yet
+	cachedDeltas   map[int64][]byte // encoded changes from a revision to the current one
+	cachedFullList []byte           // encoded full list at the current revision; nil if not encoded yet
 }
 
+// loggedEntry is an entry as JSON and the revision that set it.
 type loggedEntry struct {
 	revision int64
 	id       string
@@ -335,7 +336,7 @@
 // addRevision applies entries as the next revision and drops the oldest revisions from a log that is too long.
 func (l *changeLog) addRevision(entries []Entry) {
 	l.revision++
-	l.cachedWhole = nil
+	l.cachedFullList = nil
 	clear(l.cachedDeltas)
 	for _, e := range entries {
 		l.log = append(l.log, l.apply(e))
@@ -345,7 +346,7 @@
 		return
 	}
 	l.completeSince = l.log[excess-1].revision
-	for excess < len(l.log) && l.log[excess].revision == l.completeSince { // keep or drop a revision as a whole
+	for excess < len(l.log) && l.log[excess].revision == l.completeSince { // drop every entry of a revision or none
 		excess++
 	}
 	clear(l.log[:excess])
@@ -353,11 +354,11 @@
 }
 
 // since returns the response body for a watch from the revision: the latest state of each entry that changed after
-// it, or the whole list where the log doesn't reach back that far or the revision is newer than the list. Callers share
+// it, or the full list where the log doesn't reach back that far or the revision is newer than the list. Callers share
 // the bytes and must not modify them.
-func (l *changeLog) since(revision int64) (body []byte, whole bool) {
+func (l *changeLog) since(revision int64) (body []byte, full bool) {
 	if revision < l.completeSince || revision > l.revision {
-		return l.wholeList(), true
+		return l.fullList(), true
 	}
 	if body := l.cachedDeltas[revision]; body != nil {
 		return body, false
@@ -380,11 +381,11 @@
 	return body, false
 }
 
-func (l *changeLog) wholeList() []byte {
-	if l.cachedWhole == nil {
-		l.cachedWhole = l.encode(true, l.members)
+func (l *changeLog) fullList() []byte {
+	if l.cachedFullList == nil {
+		l.cachedFullList = l.encode(true, l.members)
 	}
-	return l.cachedWhole
+	return l.cachedFullList
 }
 
 func (l *changeLog) encode(complete bool, entries []loggedEntry) []byte {
@@ -404,8 +405,8 @@
 
 // registryResponse is the result of one call. empty marks a delta without changes.
 type registryResponse struct {
-	body         []byte
-	whole, empty bool
+	body        []byte
+	full, empty bool
 }
 
 // awaitSilenceEnd waits for an active silence to end, for ctx or for Close.
@@ -442,19 +443,19 @@
 		var response registryResponse
 		silenceEnd, changed := r.silence.done, r.changed
 		switch {
-		case silenceEnd != nil:
+		case silenceEnd != nil: // no response during a silence
 		case !watch:
-			response = registryResponse{body: r.list.wholeList(), whole: true}
+			response = registryResponse{body: r.list.fullList(), full: true}
 		case expired || revision != r.list.revision:
 			response.empty = revision == r.list.revision
-			response.body, response.whole = r.list.since(revision)
+			response.body, response.full = r.list.since(revision)
 		}
 		r.mu.Unlock()
 		switch {
 		case response.body != nil:
 			return response, nil
 		case silenceEnd != nil:
-			changed = nil
+			changed = nil // only the end of the silence wakes the call
 		}
 		select {
 		case <-changed:
@@ -495,7 +496,7 @@
 	if watch {
 		ep.counters.watchCalls.Add(1)
 	} else {
-		ep.counters.wholeCalls.Add(1)
+		ep.counters.fullListCalls.Add(1)
 	}
 	response, err := ep.registry.respond(req.Context(), watch, revision, wait)
 	if err != nil {
@@ -505,9 +506,9 @@
 	}
 	size := int64(len(response.body))
 	switch {
-	case response.whole:
-		ep.counters.wholeLists.Add(1)
-		ep.counters.wholeBytes.Add(size)
+	case response.full:
+		ep.counters.fullLists.Add(1)
+		ep.counters.fullListBytes.Add(size)
 	case response.empty:
 		ep.counters.emptyDeltas.Add(1)
 		ep.counters.deltaBytes.Add(size)
@@ -626,7 +627,7 @@
 	}
 }
 
-// countedConn counts the bytes of a connection, and its end.
+// countedConn counts the bytes of a connection, and decrements the count of open connections when it is closed.
 type countedConn struct {
 	net.Conn
 	endpoint *registryEndpoint
--- a/internal/scale/registry_test.go
+++ b/internal/scale/registry_test.go
@@ -24,9 +24,9 @@
 }
 
 // newTestRegistry returns a registry and one endpoint without sockets.
-func newTestRegistry(t *testing.T, plan DiscoveryPlan, members ...Entry) (*Registry, *registryEndpoint) {
+func newTestRegistry(t *testing.T, plan DiscoveryLimits, members ...Entry) (*Registry, *registryEndpoint) {
 	t.Helper()
-	r, err := newRegistry(RegistryConfig{Listeners: 1, Plan: plan, Members: members})
+	r, err := newRegistry(RegistryConfig{Listeners: 1, Limits: plan, Members: members})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -47,7 +47,7 @@
 }
 
 func TestRegistryWholeListJSON(t *testing.T) {
-	_, ep := newTestRegistry(t, DiscoveryPlan{}, Entry{ID: "s-1", HostPort: "127.64.0.1:1", Locality: "z01", Flavor: "k-0001",
+	_, ep := newTestRegistry(t, DiscoveryLimits{}, Entry{ID: "s-1", HostPort: "127.64.0.1:1", Locality: "z01", Flavor: "k-0001",
 		Cell: 3, Phase: "up", Size: 1, UpSinceMS: 7})
 	rec := httptest.NewRecorder()
 	ep.ServeHTTP(rec, httptest.NewRequest(http.MethodGet, "/registry/instances", nil))
@@ -59,7 +59,7 @@
 }
 
 func TestRegistryWatchReturnsLatestChanges(t *testing.T) {
-	r, ep := newTestRegistry(t, DiscoveryPlan{}, testEntry("a", "up"), testEntry("b", "up"), testEntry("c", "up"))
+	r, ep := newTestRegistry(t, DiscoveryLimits{}, testEntry("a", "up"), testEntry("b", "up"), testEntry("c", "up"))
 	r.Change([]Entry{testEntry("a", "draining")})                      // 2
 	r.Change([]Entry{testEntry("b", "removed"), testEntry("d", "up")}) // 3
 	if rev, _ := r.Change([]Entry{testEntry("a", "up")}); rev != 4 {   // 4
@@ -80,15 +80,15 @@
 			t.Errorf("%q: want %v, got %d %v", c.query, c.want, code, got)
 		}
 	}
-	got, want := r.Stats()[0], RegistryStats{WatchCalls: 5, WholeCalls: 1, Deltas: 2, EmptyDeltas: 1, WholeLists: 3}
-	want.DeltaBytes, want.WholeBytes = got.DeltaBytes, got.WholeBytes
-	if got != want || got.DeltaBytes == 0 || got.WholeBytes == 0 {
+	got, want := r.Stats()[0], RegistryStats{WatchCalls: 5, FullListCalls: 1, Deltas: 2, EmptyDeltas: 1, FullLists: 3}
+	want.DeltaBytes, want.FullListBytes = got.DeltaBytes, got.FullListBytes
+	if got != want || got.DeltaBytes == 0 || got.FullListBytes == 0 {
 		t.Errorf("want %+v, got %+v", want, got)
 	}
 }
 
 func TestRegistryWatchOlderThanLogReturnsWholeList(t *testing.T) {
-	r, ep := newTestRegistry(t, DiscoveryPlan{}, testEntry("a", "up"))
+	r, ep := newTestRegistry(t, DiscoveryLimits{}, testEntry("a", "up"))
 	for range maxLogEntries {
 		r.Change([]Entry{testEntry("a", "up"), testEntry("b", "up")}) // two entries each: the log keeps half of the revisions
 	}
@@ -119,7 +119,7 @@
 }
 
 func TestRegistryRejectsInvalidCalls(t *testing.T) {
-	_, ep := newTestRegistry(t, DiscoveryPlan{}, testEntry("a", "up"))
+	_, ep := newTestRegistry(t, DiscoveryLimits{}, testEntry("a", "up"))
 	for query, want := range map[string]int{"?index=x": 400, "?index=": 400, "?index=1&wait=-1": 400, "?index=1&wait=x": 400} {
 		if code, _ := callRegistry(ep, query); code != want {
 			t.Errorf("%q: %d", query, code)
@@ -140,7 +140,7 @@
 
 func TestRegistryWatchWaitsForChangeOrTimeout(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		r, ep := newTestRegistry(t, DiscoveryPlan{}, testEntry("a", "up"))
+		r, ep := newTestRegistry(t, DiscoveryLimits{}, testEntry("a", "up"))
 		start := time.Now()
 		if _, got := callRegistry(ep, "?index=1&wait=20000"); time.Since(start) != 20*time.Second || got.Complete || len(got.Members) != 0 {
 			t.Errorf("after %v: %v", time.Since(start), got)
@@ -171,7 +171,7 @@
 
 func TestRegistryQueuesCallsAndRejectsLateOnes(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		plan := DiscoveryPlan{CallsPerSecond: 10, QueueLimit: Duration{250 * time.Millisecond}}
+		plan := DiscoveryLimits{CallsPerSecond: 10, QueueLimit: Duration{250 * time.Millisecond}}
 		r, ep := newTestRegistry(t, plan, testEntry("a", "up"))
 		start := time.Now()
 		codes := make(chan string, 9)
@@ -189,7 +189,7 @@
 		if !reflect.DeepEqual(got, want) {
 			t.Errorf("want %v, got %v", want, got)
 		}
-		if s := r.Stats()[0]; s.Failures != 2 || s.WholeLists != 3 || s.WholeCalls != 5 {
+		if s := r.Stats()[0]; s.Failures != 2 || s.FullLists != 3 || s.FullListCalls != 5 {
 			t.Errorf("got %+v", s)
 		}
 		// A waiting watch does not occupy the queue.
@@ -209,7 +209,7 @@
 
 func TestRegistrySilenceDelaysResponses(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		r, ep := newTestRegistry(t, DiscoveryPlan{}, testEntry("a", "up"))
+		r, ep := newTestRegistry(t, DiscoveryLimits{}, testEntry("a", "up"))
 		start := time.Now()
 		var calls sync.WaitGroup
 		for _, query := range []string{"", "?index=1&wait=20000", "?index=1&wait=1000", "?index=9"} {
@@ -242,7 +242,7 @@
 
 func TestRegistryCallEndsWithContext(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		r, _ := newTestRegistry(t, DiscoveryPlan{CallsPerSecond: 1}, testEntry("a", "up"))
+		r, _ := newTestRegistry(t, DiscoveryLimits{CallsPerSecond: 1}, testEntry("a", "up"))
 		for _, silence := range []time.Duration{0, time.Minute} {
 			r.Silence(silence)
 			ctx, cancel := context.WithTimeout(t.Context(), 1500*time.Millisecond)
@@ -291,8 +291,8 @@
 		}
 	}
 	s := r.Stats()
-	if s[0] != (RegistryStats{}) || s[1].Connections != 1 || s[1].Open != 1 || s[1].WholeLists != 2 ||
-		s[1].BytesOut <= s[1].WholeBytes || s[1].BytesIn == 0 {
+	if s[0] != (RegistryStats{}) || s[1].Connections != 1 || s[1].Open != 1 || s[1].FullLists != 2 ||
+		s[1].BytesOut <= s[1].FullListBytes || s[1].BytesIn == 0 {
 		t.Errorf("got %+v", s)
 	}
 	ended := make(chan error)
--- a/internal/scale/result.go
+++ b/internal/scale/result.go
@@ -76,24 +76,25 @@
 	Nodes     int `json:"nodes"`
 	Processes int `json:"processes"`
 
-	// ControlCPU is the mean share of a core that a node uses in the quiet period.
+	// ControlCPU is the mean fraction of a core that a node uses in the quiet period.
 	ControlCPU *float64 `json:"control_cpu_core_share,omitempty"`
 	// CPUPerRequest is the CPU time of the loaded period minus that of the quiet period scaled to the same length,
 	// divided by the requests sent.
 	CPUPerRequest *float64 `json:"cpu_ms_a_request,omitempty"`
 
-	// Real nodes only: from a process's start until it reports ready. They are started one after the other.
+	// Real nodes only: time, CPU time and bytes logged from a process's start until it reports ready. The nodes are
+	// started one after another.
 	StartToReady  *Summary `json:"start_to_ready_ms,omitempty"`
 	StartCPU      *Summary `json:"start_cpu_ms,omitempty"`
 	StartLogBytes *Summary `json:"start_log_bytes,omitempty"`
-	// Real nodes only, restarted all at once by a restart wave.
+	// Real nodes only: time from the start to ready in a restart wave, in which nodes start at the same time.
 	RestartToReady *Summary `json:"start_again_to_ready_ms,omitempty"`
 
-	LogBytesPerNode *float64 `json:"log_bytes_a_node,omitempty"` // over the whole step
-	PeakMemory      *Summary `json:"peak_memory_mib,omitempty"`  // VmHWM at the end of the step
-	RestingMemory   *Summary `json:"resting_memory_mib,omitempty"`
-	MemoryPerNode   *float64 `json:"memory_mib_a_node,omitempty"` // resident, minus that before the nodes were started
-	HeapPerNode     *float64 `json:"heap_mib_a_node,omitempty"`   // as MemoryPerNode, but heap after a garbage collection
+	LogBytesPerNode *float64 `json:"log_bytes_a_node,omitempty"`   // over the whole step
+	PeakMemory      *Summary `json:"peak_memory_mib,omitempty"`    // VmHWM at the end of the step
+	RestingMemory   *Summary `json:"resting_memory_mib,omitempty"` // VmRSS at the end of the quiet period
+	MemoryPerNode   *float64 `json:"memory_mib_a_node,omitempty"`  // resident, minus that before the nodes were started
+	HeapPerNode     *float64 `json:"heap_mib_a_node,omitempty"`    // as MemoryPerNode, but heap after a garbage collection
 
 	Quiet  *PeriodResult `json:"quiet,omitempty"`
 	Loaded *PeriodResult `json:"loaded,omitempty"`
@@ -101,44 +102,45 @@
 
 // PeriodResult holds the measurements of one period of a step. Rates are means per node and second.
 type PeriodResult struct {
-	Seconds     float64  `json:"seconds"`
-	CPU         *float64 `json:"cpu_core_share,omitempty"`
-	BytesIn     float64  `json:"control_bytes_to_node_per_second"`
-	BytesOut    float64  `json:"control_bytes_from_node_per_second"`
-	DeltaBytes  float64  `json:"delta_bytes_per_second"`
-	WholeBytes  float64  `json:"whole_list_bytes_per_second"`
-	Connections float64  `json:"connections_per_second"`
-	WatchCalls  float64  `json:"watch_calls_per_second"`
-	WholeCalls  float64  `json:"whole_list_calls_per_second"`
-	Deltas      float64  `json:"deltas_per_second"`
-	EmptyDeltas float64  `json:"empty_deltas_per_second"`
-	WholeLists  float64  `json:"whole_lists_per_second"`
-	Failures    float64  `json:"failures_per_second"`
-	Changes     int      `json:"changes"`
+	Seconds       float64  `json:"seconds"`
+	CPU           *float64 `json:"cpu_core_share,omitempty"`
+	BytesIn       float64  `json:"control_bytes_to_node_per_second"`
+	BytesOut      float64  `json:"control_bytes_from_node_per_second"`
+	DeltaBytes    float64  `json:"delta_bytes_per_second"`
+	FullListBytes float64  `json:"whole_list_bytes_per_second"`
+	Connections   float64  `json:"connections_per_second"`
+	WatchCalls    float64  `json:"watch_calls_per_second"`
+	FullListCalls float64  `json:"whole_list_calls_per_second"`
+	Deltas        float64  `json:"deltas_per_second"`
+	EmptyDeltas   float64  `json:"empty_deltas_per_second"`
+	FullLists     float64  `json:"whole_lists_per_second"`
+	Failures      float64  `json:"failures_per_second"`
+	Changes       int      `json:"changes"`
 	// Real nodes log times rounded down to milliseconds, so their delays are up to 1 ms too short.
 	InForce    *Summary `json:"change_to_in_force_ms,omitempty"`   // one value per node and change
-	NotInForce *int64   `json:"not_in_force_at_the_end,omitempty"` // pairs of node and change, 5 s after the last change
+	NotInForce *int64   `json:"not_in_force_at_the_end,omitempty"` // pairs of a node and a change not in force there 5 s after the last change
 }
 
-// RegistryResult holds the cost of the stand-in for discovery in the quiet period.
+// RegistryResult holds the CPU use of the stand-in for discovery in the quiet period.
 type RegistryResult struct {
 	CPU          *float64 `json:"cpu_core_share,omitempty"`
 	CPUPerNode   *float64 `json:"cpu_core_share_a_node,omitempty"`
-	CPUPerChange *float64 `json:"cpu_ms_a_change,omitempty"` // its whole CPU time divided by the number of changes
+	CPUPerChange *float64 `json:"cpu_ms_a_change,omitempty"` // total CPU time divided by the number of changes
 }
 
-// LoadResult holds what clients of the real nodes measured under load. Requests are drawn in proportion to the tenants'
-// quotas. If the total rate is within the sum of the quotas, each tenant therefore stays within its own on average, and
-// every refusal counts as one within the tenant's share.
+// LoadResult holds what clients of the real nodes measured under load. The tenants' request rates are in proportion to
+// their quotas. If the total rate is at most the sum of the quotas, each tenant therefore stays within its quota on
+// average, and RefusedWithinShare counts every refused request.
 type LoadResult struct {
 	Sent               int64  `json:"requests_sent"`
 	Served             int64  `json:"requests_served"`
 	Refused            int64  `json:"requests_refused"`
-	RefusedWithinShare *int64 `json:"requests_refused_within_share,omitempty"` // absent if tenants send more than their shares
+	RefusedWithinShare *int64 `json:"requests_refused_within_share,omitempty"` // absent if the total rate exceeds the sum of the quotas
 	Failed             int64  `json:"requests_failed"`
-	// AddedLatency is the latency that the client sees, from the planned send time, minus the transcriber's service time.
+	// AddedLatency is the latency that the client sees, from the planned send time, minus the transcriber's
+	// processing time.
 	AddedLatency   *Summary `json:"added_to_a_request_ms,omitempty"`
-	AtTranscribers *int64   `json:"requests_at_transcribers,omitempty"`
+	AtTranscribers *int64   `json:"requests_at_transcribers,omitempty"` // attempts that transcribers received
 }
 
 // Summary holds the quantiles of a set of values to three significant digits. P99 is present from 100 values on, P999
@@ -170,6 +172,7 @@
 	return s
 }
 
+// recordValue records v, limited to the histogram's range.
 func recordValue(h *hdrhistogram.Histogram, v int64) { _ = h.RecordValue(min(max(v, 0), 1e12)) }
 
 func ptr[T any](v T) *T { return &v }
--- a/internal/scale/run.go
+++ b/internal/scale/run.go
@@ -24,7 +24,7 @@
 	pollInterval        = 50 * time.Millisecond
 	memoryCheckInterval = 250 * time.Millisecond
 	maxMemoryFraction   = 0.5                  // fraction of the machine's memory that a step's processes may use
-	meanWorkTime        = 5 * time.Millisecond // mean time that a transcriber works on a request
+	meanProcessingTime  = 5 * time.Millisecond // of a request at a transcriber
 )
 
 // Options are the settings of a run that are not part of its plan.
@@ -185,13 +185,13 @@
 	defer os.RemoveAll(r.tempDir)
 	var monitor sync.WaitGroup
 	defer monitor.Wait()
-	defer cancelStep(nil)
+	defer cancelStep(nil) // ends the monitor
 	defer r.stopProcesses()
 	monitor.Go(func() { r.enforceMemoryLimit(ctx) })
 	if err = r.startProcesses(ctx, port); err == nil {
 		err = r.measure(ctx)
 	}
-	if err != nil && context.Cause(ctx) != nil { // err only follows from the cancellation
+	if err != nil && context.Cause(ctx) != nil { // err is only a consequence of the cancellation
 		err = context.Cause(ctx)
 	}
 	return result, err
@@ -292,7 +292,7 @@
 			return err
 		}
 		if err := r.transcribers.call(ctx, "Child.Start",
-			TranscribersArgs{r.Step, r.options.Seed, port, meanWorkTime}, nil); err != nil {
+			TranscribersArgs{r.Step, r.options.Seed, port, meanProcessingTime}, nil); err != nil {
 			return err
 		}
 	}
@@ -445,7 +445,7 @@
 			}
 			// The number of calls does not suffice: a node may have made two while another has yet to start. So each
 			// node must also have a connection open.
-			called = called && (stats.WatchCalls+stats.WholeCalls >= int64(want) &&
+			called = called && (stats.WatchCalls+stats.FullListCalls >= int64(want) &&
 				stats.Open >= int64(want) || r.Real+len(r.hollowCounts) == 0)
 		}
 		inForce, err := r.inForceEverywhere(ctx, 0)
@@ -544,21 +544,21 @@
 		total.BytesIn += b.BytesIn - a.BytesIn
 		total.BytesOut += b.BytesOut - a.BytesOut
 		total.DeltaBytes += b.DeltaBytes - a.DeltaBytes
-		total.WholeBytes += b.WholeBytes - a.WholeBytes
+		total.FullListBytes += b.FullListBytes - a.FullListBytes
 		total.Connections += b.Connections - a.Connections
 		total.WatchCalls += b.WatchCalls - a.WatchCalls
-		total.WholeCalls += b.WholeCalls - a.WholeCalls
+		total.FullListCalls += b.FullListCalls - a.FullListCalls
 		total.Deltas += b.Deltas - a.Deltas
 		total.EmptyDeltas += b.EmptyDeltas - a.EmptyDeltas
-		total.WholeLists += b.WholeLists - a.WholeLists
+		total.FullLists += b.FullLists - a.FullLists
 		total.Failures += b.Failures - a.Failures
 	}
 	seconds := to.at.Sub(from.at).Seconds()
 	rate := func(v int64) float64 { return roundSignificant(float64(v) / float64(n) / seconds) }
 	return &PeriodResult{Seconds: roundSignificant(seconds), BytesIn: rate(total.BytesOut), BytesOut: rate(total.BytesIn),
-		DeltaBytes: rate(total.DeltaBytes), WholeBytes: rate(total.WholeBytes), Connections: rate(total.Connections),
-		WatchCalls: rate(total.WatchCalls), WholeCalls: rate(total.WholeCalls), Deltas: rate(total.Deltas),
-		EmptyDeltas: rate(total.EmptyDeltas), WholeLists: rate(total.WholeLists), Failures: rate(total.Failures)}
+		DeltaBytes: rate(total.DeltaBytes), FullListBytes: rate(total.FullListBytes), Connections: rate(total.Connections),
+		WatchCalls: rate(total.WatchCalls), FullListCalls: rate(total.FullListCalls), Deltas: rate(total.Deltas),
+		EmptyDeltas: rate(total.EmptyDeltas), FullLists: rate(total.FullLists), Failures: rate(total.Failures)}
 }
 
 // startClients starts sending requests to every real node.
@@ -646,19 +646,19 @@
 	}
 	for _, p := range []struct {
 		changes []revisionTime
-		of      func(*NodeKindResult) *PeriodResult
+		result  func(*NodeKindResult) *PeriodResult
 	}{
 		{changes[:firstLoaded], func(k *NodeKindResult) *PeriodResult { return k.Quiet }},
 		{changes[firstLoaded:], func(k *NodeKindResult) *PeriodResult { return k.Loaded }},
 	} {
-		if k := r.result.Real; k != nil && p.of(k) != nil && len(p.changes) > 0 {
+		if k := r.result.Real; k != nil && p.result(k) != nil && len(p.changes) > 0 {
 			h, notInForce := newHistogram(), int64(0)
 			for _, node := range r.realNodes {
 				notInForce += node.history.recordDelays(p.changes, h)
 			}
-			p.of(k).Changes, p.of(k).InForce, p.of(k).NotInForce = len(p.changes), summarize(h, 1e-3), &notInForce
+			p.result(k).Changes, p.result(k).InForce, p.result(k).NotInForce = len(p.changes), summarize(h, 1e-3), &notInForce
 		}
-		if k := r.result.Hollow; k != nil && p.of(k) != nil && len(p.changes) > 0 {
+		if k := r.result.Hollow; k != nil && p.result(k) != nil && len(p.changes) > 0 {
 			h, notInForce := newHistogram(), int64(0)
 			for _, c := range r.hollowProcesses {
 				var reply DelaysReply
@@ -672,7 +672,7 @@
 				h.Merge(delays)
 				notInForce += reply.Never
 			}
-			p.of(k).Changes, p.of(k).InForce, p.of(k).NotInForce = len(p.changes), summarize(h, 1e-3), &notInForce
+			p.result(k).Changes, p.result(k).InForce, p.result(k).NotInForce = len(p.changes), summarize(h, 1e-3), &notInForce
 		}
 	}
 	return nil
--- a/internal/scale/shares.go
+++ b/internal/scale/shares.go
@@ -13,7 +13,7 @@
 const (
 	sharesQuota    = 1.4 // requests per second of one tenant over all nodes (SIZE)
 	sharesDuration = 600 * time.Second
-	sharesServers  = 30 // at most one request is in flight at a time, so servers always have room
+	sharesServers  = 30 // at most one request is in flight at a time, so no server is ever full
 )
 
 // SharesResult shows how much of its quota a tenant gets if its requests reach only some of the nodes.
--- a/internal/scale/transcribers.go
+++ b/internal/scale/transcribers.go
@@ -99,7 +99,7 @@
 			port = addrPort.Port()
 		}
 		if addrPort.Port() != port {
-			return nil, 0, fmt.Errorf("transcribers: members[%d].host_port: want port %d as the others, got %q", i, port, e.HostPort)
+			return nil, 0, fmt.Errorf("transcribers: members[%d].host_port: want port %d like the others, got %q", i, port, e.HostPort)
 		}
 		t.reached[addrPort.Addr()] = false
 	}
--- a/internal/scale/world.go
+++ b/internal/scale/world.go
@@ -85,7 +85,7 @@
 	w.cumulativeServiceLoads = cumulativeSums(loads)
 	quotas := make([]float64, s.Tenants)
 	for i := range quotas {
-		quotas[i] = math.Min(math.Pow(1-rng.Float64(), -1/1.5), 1000) // Pareto, index 1.5
+		quotas[i] = math.Min(math.Pow(1-rng.Float64(), -1/1.5), 1000) // Pareto with index 1.5, at most 1000 times the smallest
 	}
 	w.cumulativeTenantRates = cumulativeSums(quotas)
 	factor := tenantMeanRate * float64(s.Tenants) / w.cumulativeTenantRates[s.Tenants-1]
@@ -107,7 +107,7 @@
 	return w
 }
 
-// memberList is a discovery response: the whole list, or a delta.
+// memberList is a discovery response: the full list if Complete, otherwise a delta.
 type memberList struct {
 	Revision int64   `json:"revision"`
 	Complete bool    `json:"complete"`
@@ -140,7 +140,8 @@
 	return entries
 }
 
-// newID returns a new id, unique for 2^32 calls. The order of the ids is unrelated to services.
+// newID returns a new id. Ids repeat only after 2^32 calls, because the multiplier is odd. It scatters them, so that
+// their order is unrelated to the services.
 func (w *World) newID() string {
 	id := fmt.Sprintf("s-%08x", w.idsIssued*2654435761^uint32(w.Seed))
 	w.idsIssued++
--- a/internal/soak/client.go
+++ b/internal/soak/client.go
@@ -18,11 +18,13 @@
 const (
 	answerTimeoutSlack    = answerGrace + 4*checkerSlack // a request counts as unanswered this long after its deadline
 	dialTimeout           = time.Second
-	pipelineSizes         = 12                     // a pipeline has 2 to pipelineSizes+1 requests
-	idleConnCount         = 300                    // idle connections to one node, more than its limit of descriptors
-	maxFloodBytes         = 300 << 10              // upper limit of the bytes pipelined after a request
-	shortDeadlineFraction = 0.2                    // of the requests have a deadline shorter than the class's
-	maxPieceDelay         = 100 * time.Millisecond // longest pause of a slow client between two writes, and of a flood's client
+	pipelineSizes         = 12        // a pipeline has 2 to pipelineSizes+1 requests
+	idleConnCount         = 300       // idle connections to one node, more than its limit of descriptors
+	maxFloodBytes         = 300 << 10 // upper limit of the bytes pipelined after a request
+	shortDeadlineFraction = 0.2       // fraction of the requests whose deadline is shorter than the class's
+	// maxClientPause is the longest pause of a slow client between two writes and of a flooding client before it closes, and the
+	// time limit of a flood's write.
+	maxClientPause = 100 * time.Millisecond
 )
 
 // defaultClasses are the request classes of runs without an overload.
@@ -125,7 +127,7 @@
 	}
 	class := p.randomClass()
 	if p.randomFloat() < shortDeadlineFraction { // like a retry with a part of its client's deadline left
-		class.Deadline = minTryTime + time.Duration(p.randomFloat()*float64(class.Deadline-minTryTime)).Truncate(time.Millisecond)
+		class.Deadline = minRequestDeadline + time.Duration(p.randomFloat()*float64(class.Deadline-minRequestDeadline)).Truncate(time.Millisecond)
 	}
 	r, text := p.newRequest(n, class, false)
 	if !p.writeRequest(c, text) {
@@ -158,7 +160,7 @@
 				return false
 			}
 			text = text[n:]
-			time.Sleep(time.Duration(p.randomFloat() * float64(maxPieceDelay)))
+			time.Sleep(time.Duration(p.randomFloat() * float64(maxClientPause)))
 		}
 	}
 	_, err := io.WriteString(c, text)
@@ -179,7 +181,7 @@
 		p.recordNoAnswer(n, c, r, sent, err)
 		return false
 	}
-	// A client can tell a truncated answer from a complete one, so a 200 answer that breaks off counts as answered.
+	// A client can tell a truncated answer from a complete one, so a truncated 200 answer counts as answered.
 	p.checker.Answered(r, now, resp.StatusCode, err != nil || string(body) == answerBody(r.id))
 	return err == nil && !resp.Close
 }
@@ -202,7 +204,7 @@
 	case c.uses > 1 && after < closeRaceWindow:
 		p.checker.CloseRace()
 	default:
-		p.checker.Unanswered(r, time.Now(), fmt.Sprintf("the connection closed (%v, its request %d)", err, c.uses), n.killedSince(sent))
+		p.checker.Unanswered(r, time.Now(), fmt.Sprintf("the connection closed (%v) during request %d on it", err, c.uses), n.killedSince(sent))
 	}
 }
 
@@ -258,9 +260,9 @@
 		requests = append(requests, r)
 		texts.WriteString(text)
 	}
-	_ = c.SetWriteDeadline(time.Now().Add(maxPieceDelay))
+	_ = c.SetWriteDeadline(time.Now().Add(maxClientPause))
 	_, _ = io.WriteString(c, texts.String()) // fails at the deadline if the node stops reading
-	time.Sleep(time.Duration(p.randomFloat() * float64(maxPieceDelay)))
+	time.Sleep(time.Duration(p.randomFloat() * float64(maxClientPause)))
 	for _, r := range requests {
 		p.checker.Abandoned(r, time.Now())
 	}
@@ -296,7 +298,8 @@
 	p.awaitClose(n, c, fmt.Sprintf("%d bytes of a request %s", len(part), position), began)
 }
 
-// awaitClose waits for the error answer or the close that the node owes a peer that sends no complete request.
+// awaitClose waits for the error answer or the close with which the node has to react to an unfinished request, and
+// records the outcome with the checker.
 func (p *clientPool) awaitClose(n *node, c net.Conn, description string, began time.Time) {
 	_ = c.SetReadDeadline(began.Add(2 * badPeerLimit))
 	_, err := c.Read(make([]byte, 1))
--- a/internal/soak/judge.go
+++ b/internal/soak/judge.go
@@ -18,23 +18,23 @@
 
 // Limits of the rules. They match the settings that the nodes are given and the operators' requirements.
 const (
-	answerGrace    = 500 * time.Millisecond  // for an answer after its deadline
-	departureGrace = 100 * time.Millisecond  // for an attempt after its client closed
+	answerGrace    = 500 * time.Millisecond  // how long after its deadline an answer may arrive
+	departureGrace = 100 * time.Millisecond  // how long after its client closed an attempt may begin
 	deadlineSlack  = 150 * time.Millisecond  // by which X-Deadline-Ms may exceed the time left
-	drainGrace     = 1500 * time.Millisecond // for sends to a leaving server
-	maxUpdateDelay = 6 * time.Second         // a node counts as informed of a list change by then
+	drainGrace     = 1500 * time.Millisecond // how long a node may send to a leaving server once it counts as informed
+	maxUpdateDelay = 6 * time.Second         // after which a node counts as informed of a change of the list in any case
 	maxNodeStall   = 150 * time.Millisecond  // longest stall of a node between reading its clock and writing
 	badPeerLimit   = 3 * time.Second         // until a malformed or unfinished request has to be closed
-	windowSlack    = 50 * time.Millisecond
-	coldShare      = 0.13            // of its capacity that a server may get as its slow start begins
-	coldDuration   = 8 * time.Second // length of a slow start
-	fallMultiple   = 2.5             // times the ramped capacity: the budget of a server in slow start
-	budgetWindow   = 3 * time.Second // window in which that budget is counted
+	windowSlack    = 50 * time.Millisecond   // how long after its window a repeat may begin
+	coldShare      = 0.13                    // fraction of its capacity that a server may get at the beginning of its slow start
+	coldDuration   = 8 * time.Second         // length of a slow start
+	fallMultiple   = 2.5                     // budget of a server in slow start, as a multiple of its ramped capacity
+	budgetWindow   = 3 * time.Second         // window in which that budget is counted
 	// checkerSlack allows for scheduling delays of the checker, which shares the machine with all processes.
 	checkerSlack = 100 * time.Millisecond
 	// closeRaceWindow is how soon after a request the close of its reused connection still counts as a race with it.
 	closeRaceWindow = 50 * time.Millisecond
-	overlapSlack    = 50 * time.Millisecond // for a server to notice that an attempt was cancelled
+	overlapSlack    = 50 * time.Millisecond // time in which a server notices that an attempt was cancelled
 )
 
 // Rules, as named in the findings.
@@ -100,9 +100,9 @@
 	requests          map[string]*request
 	findings          []Finding
 	counts            Counts
-	leaving           map[int]time.Time            // draining and removed servers, and since when the registry lists them so
+	leavingSince      map[int]time.Time            // by server: since when the registry lists it as draining, or no longer lists it
 	leaveDelivered    map[int]map[int]time.Time    // by server and node: when the registry wrote the change to the node
-	started           map[int]time.Time            // by node: when its current process started
+	nodeStartTimes    map[int]time.Time            // by node: when its current process started
 	outage            struct{ from, to time.Time } // of the registry, the last one; to is zero while it lasts
 	coldStarts        map[int]*coldStart           // by server, the last one
 	earlierColdStarts []*coldStart                 // earlier ones of servers that have restarted since
@@ -134,13 +134,13 @@
 // coldSend is a request that a server received in its slow start.
 type coldSend struct {
 	at       time.Time
-	informed bool // its node had received the start and had had time to act on it
+	informed bool // its node had received the list with the start and had had time to act on it
 }
 
 // NewChecker returns a Checker for a run that starts now.
 func NewChecker(hedging bool) *Checker {
-	return &Checker{startTime: time.Now(), hedging: hedging, requests: make(map[string]*request), leaving: make(map[int]time.Time),
-		leaveDelivered: make(map[int]map[int]time.Time), started: make(map[int]time.Time), coldStarts: make(map[int]*coldStart),
+	return &Checker{startTime: time.Now(), hedging: hedging, requests: make(map[string]*request), leavingSince: make(map[int]time.Time),
+		leaveDelivered: make(map[int]map[int]time.Time), nodeStartTimes: make(map[int]time.Time), coldStarts: make(map[int]*coldStart),
 		counts: Counts{MaxLateness: math.MinInt64, Statuses: make(map[int]int), Disruptions: make(map[string]int)}}
 }
 
@@ -216,8 +216,8 @@
 	}
 }
 
-// Unanswered records that no answer came: the client's wait ended or the connection did. nodeKilled tells whether the
-// node's process was killed meanwhile, which excuses it.
+// Unanswered records that no answer came before the client's wait ended or the connection closed. nodeKilled tells whether
+// the node's process was killed meanwhile, which excuses it.
 func (c *Checker) Unanswered(r *request, at time.Time, reason string, nodeKilled bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -242,12 +242,12 @@
 	defer c.mu.Unlock()
 	c.counts.BadPeers++
 	if !nodeKilled && (!closed || waited > badPeerLimit+checkerSlack) {
-		c.report(ruleBadPeer, nil, node, "%s: closed %v after %v", description, closed, waited)
+		c.report(ruleBadPeer, nil, node, "%s: connection closed: %v, after %v", description, closed, waited)
 	}
 }
 
 // AttemptBegan records a request that a server has received in full. began is when its first byte arrived, and
-// statedDeadline the time that the node said its client still waits.
+// statedDeadline the remaining deadline that the node stated in X-Deadline-Ms.
 func (c *Checker) AttemptBegan(id string, server int, began time.Time, statedDeadline time.Duration) *attempt {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -271,11 +271,11 @@
 // checkAttempt checks a new attempt against the request's client, deadline and earlier attempts and the server's phase.
 func (c *Checker) checkAttempt(r *request, a *attempt) {
 	if !r.abandoned.IsZero() && a.began.Sub(r.abandoned) > departureGrace+checkerSlack {
-		c.report(ruleDeparture, r, 0, "started at server %d %v after the client closed", a.server, a.began.Sub(r.abandoned))
+		c.report(ruleDeparture, r, 0, "began at server %d, %v after the client closed", a.server, a.began.Sub(r.abandoned))
 	}
 	if !r.sent.IsZero() {
 		if remaining := r.class.Deadline - a.began.Sub(r.sent); a.statedDeadline > remaining+deadlineSlack+checkerSlack/2 {
-			c.report(ruleDeadline, r, 0, "server %d was given %v, %v left", a.server, a.statedDeadline, remaining)
+			c.report(ruleDeadline, r, 0, "server %d was given a deadline of %v, but the client had %v left", a.server, a.statedDeadline, remaining)
 		}
 	}
 	var first *attempt // the first that may have run
@@ -287,7 +287,7 @@
 	if first != nil {
 		c.checkRepeat(r, a, first)
 	}
-	if since, leaving := c.leaving[a.server]; leaving {
+	if since, leaving := c.leavingSince[a.server]; leaving {
 		c.checkLeaving(r, a, since)
 	}
 }
@@ -304,13 +304,14 @@
 	}
 }
 
-// checkLeaving reports a send to a draining or removed server later than the drain grace after the node counts as
-// informed: when the registry wrote the change to it, and at the latest 6 s after the registry listed the change, could be
-// reached and the node's process had started.
+// checkLeaving reports an attempt at a draining or removed server that began later than the drain grace after the node
+// counts as informed of that change. It does once the registry has written the change to it, and at the latest
+// maxUpdateDelay after the change, the end of the last outage and the start of the node's process, whichever is last.
+// During an outage, only the write counts.
 func (c *Checker) checkLeaving(r *request, a *attempt, since time.Time) {
 	informedAt, informed := c.leaveDelivered[a.server][r.node]
 	if down := c.outage; down.from.IsZero() || !down.to.IsZero() {
-		latest := slices.MaxFunc([]time.Time{since, down.to, c.started[r.node]}, time.Time.Compare).Add(maxUpdateDelay)
+		latest := slices.MaxFunc([]time.Time{since, down.to, c.nodeStartTimes[r.node]}, time.Time.Compare).Add(maxUpdateDelay)
 		if !informed || latest.Before(informedAt) {
 			informedAt, informed = latest, true
 		}
@@ -320,8 +321,8 @@
 	}
 }
 
-// AttemptEnded records that a server has answered or noticed a cancelled attempt. notRun tells whether the answer said
-// that the request was not run. Without hedging, it reports later attempts that overlap this one.
+// AttemptEnded records that a server has answered an attempt, or noticed that it was cancelled. notRun tells whether the
+// answer said that the request was not run. Without hedging, it reports later attempts that overlap this one.
 func (c *Checker) AttemptEnded(a *attempt, at time.Time, notRun bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -344,8 +345,8 @@
 func (c *Checker) ServerLeaving(server int, at time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if _, leaving := c.leaving[server]; !leaving { // a drained server that is removed was to receive nothing since its drain
-		c.leaving[server] = at
+	if _, leaving := c.leavingSince[server]; !leaving { // a server that drains before its removal has been leaving since its drain
+		c.leavingSince[server] = at
 	}
 }
 
@@ -353,7 +354,7 @@
 func (c *Checker) ServerReturned(server int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	delete(c.leaving, server)
+	delete(c.leavingSince, server)
 	delete(c.leaveDelivered, server)
 }
 
@@ -361,7 +362,7 @@
 func (c *Checker) LeaveDelivered(node, server int, at time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if _, leaving := c.leaving[server]; !leaving {
+	if _, leaving := c.leavingSince[server]; !leaving {
 		return
 	}
 	if c.leaveDelivered[server] == nil {
@@ -389,7 +390,7 @@
 func (c *Checker) NodeStarted(node int, at time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.started[node] = at
+	c.nodeStartTimes[node] = at
 	for _, nodes := range c.leaveDelivered {
 		delete(nodes, node)
 	}
@@ -419,7 +420,7 @@
 	c.coldStarts[server] = &coldStart{server: server, began: at, capacity: capacity, delivered: make(map[int]time.Time)}
 }
 
-// budget is how many requests the settings allow a server in slow start in the window that ends at end, with the
+// budget returns how many requests the settings allow a server in slow start in the window that ends at end, with the
 // requirements' allowance for random variation.
 func (cold *coldStart) budget(end time.Time) float64 {
 	const steps = 20
@@ -477,8 +478,8 @@
 	return c.findings, c.counts
 }
 
-// servedRatio is the fraction of answered requests with status 200.
-func (c *Checker) servedRatio() float64 {
+// servedFraction returns the fraction of answered requests with status 200.
+func (c *Checker) servedFraction() float64 {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	answered := 0
--- a/internal/soak/node.go
+++ b/internal/soak/node.go
@@ -23,16 +23,16 @@
 	readyPollInterval   = 50 * time.Millisecond
 	readyTimeout        = 30 * time.Second
 	upgradeReadyTimeout = 6 * time.Second
-	terminationSlack    = 700 * time.Millisecond // SIGKILL follows SIGTERM after the longest deadline and this
+	terminationSlack    = 700 * time.Millisecond // time from SIGTERM to SIGKILL, beyond the longest deadline
 	longestDeadlineCap  = 3 * time.Second        // upper limit of the longest deadline (PROTOCOL)
 	signalInterval      = 50 * time.Millisecond  // between the signals of a series
-	inheritedFD         = 5
+	inheritedFD         = 5                      // descriptor of the last of start's three ExtraFiles, the first being 3
 	frontRemovalDelay   = 200 * time.Millisecond // from a failed readiness probe until the front opens no new connections
 	nodeMemoryMB        = 64
 	nodeSockets         = 256
 	scrapeTimeout       = time.Second
-	standbyTimeout      = 4 * time.Second // by which a node put into standby has to report not ready (operators' days)
-	activeTimeout       = 2 * time.Second // by which it has to report ready again after its standby
+	standbyTimeout      = 4 * time.Second // in which a node put into standby has to report not ready (operators' days)
+	activeTimeout       = 2 * time.Second // in which it has to report ready again after its standby
 	statFieldCount      = 13              // in /proc/PID/stat after the command name, up to and including stime (proc(5))
 	clockTicksPerSecond = 100             // USER_HZ, the unit of utime and stime
 )
@@ -225,21 +225,21 @@
 	}
 }
 
-// receivesConnections tells whether the front opens new connections to the node.
+// receivesConnections reports whether the front opens new connections to the node.
 func (n *node) receivesConnections() bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.ready
 }
 
-// killedSince tells whether a process of the node is being killed or was killed after the given time.
+// killedSince reports whether a process of the node is being killed or was killed after the given time.
 func (n *node) killedSince(since time.Time) bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.killing || n.lastKill.After(since)
 }
 
-// mayResetUnread tells whether the node has had a reason since the given time to close connections with unread requests: a
+// mayResetUnread reports whether the node has had a reason since the given time to close connections with unread requests: a
 // kill, exhausted descriptors, standby, or a process that is ending or started up to longestDeadlineCap before that time.
 func (n *node) mayResetUnread(since time.Time) bool {
 	if n.killedSince(since) || n.outOfDescriptors.Load() || n.inStandby.Load() {
@@ -260,14 +260,15 @@
 	n.recordKill(false)
 }
 
-// recordKill records that a kill begins or is over. It excuses requests sent before its end, also those sent during it.
+// recordKill records that a kill begins or is over. A kill excuses the loss of requests that were sent before its end.
 func (n *node) recordKill(begins bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.killing, n.lastKill = begins, time.Now()
 }
 
-// terminate sends SIGTERM to a process and waits for its exit as long as the platform does, then reports and kills it.
+// terminate sends SIGTERM to a process and waits for its exit. It reports and kills a process that takes longer than the
+// platform waits.
 func (n *node) terminate(p *process) {
 	p.terminating.Store(true)
 	timeout := n.run.plan.longestDeadline() + terminationSlack
@@ -318,15 +319,15 @@
 		return // it is ending or has exited
 	}
 	n.run.wait(standbyTimeout)
-	stays := func() bool { return n.process() == p && !p.terminating.Load() && n.run.ctx.Err() == nil }
-	if statusOK("http://"+p.adminAddr+"/status") && stays() {
+	stillCurrent := func() bool { return n.process() == p && !p.terminating.Load() && n.run.ctx.Err() == nil }
+	if statusOK("http://"+p.adminAddr+"/status") && stillCurrent() {
 		n.run.checker.Report(ruleStandby, n.number, "still ready %v after it was put into standby", standbyTimeout)
 	}
 	if !p.post("/active") {
 		return
 	}
 	for began := time.Now(); !statusOK("http://" + p.adminAddr + "/status"); n.run.wait(readyPollInterval) {
-		if !stays() {
+		if !stillCurrent() {
 			return
 		}
 		if time.Since(began) > activeTimeout {
@@ -337,9 +338,9 @@
 }
 
 // post sends a POST request to the operators' listener, and reports whether the response was 200.
-func (p *process) post(call string) bool {
+func (p *process) post(path string) bool {
 	client := http.Client{Timeout: scrapeTimeout, Transport: &http.Transport{DisableKeepAlives: true}}
-	resp, err := client.Post("http://"+p.adminAddr+call, "", nil)
+	resp, err := client.Post("http://"+p.adminAddr+path, "", nil)
 	if err != nil {
 		return false
 	}
@@ -421,7 +422,7 @@
 	return 0
 }
 
-// metric returns a metric without labels, or 0 on an error.
+// metric returns the value of a metric without labels, or 0 on an error.
 func (p *process) metric(name string) float64 {
 	client := http.Client{Timeout: scrapeTimeout, Transport: &http.Transport{DisableKeepAlives: true}}
 	resp, err := client.Get("http://" + p.adminAddr + "/metrics")
@@ -475,7 +476,7 @@
 	return os.Rename(name+".new", name)
 }
 
-// statusOK tells whether a GET request to the URL is answered with 200.
+// statusOK reports whether a GET request to the URL is answered with 200.
 func statusOK(url string) bool {
 	client := http.Client{Timeout: scrapeTimeout, Transport: &http.Transport{DisableKeepAlives: true}}
 	resp, err := client.Get(url)
--- a/internal/soak/overload.go
+++ b/internal/soak/overload.go
@@ -9,9 +9,9 @@
 	"time"
 )
 
-// Overload describes, beside a plan's disruptions, a run in which servers get more requests than they can serve in time.
+// Overload describes the load of a run in which servers get more requests than they can serve in time.
 type Overload struct {
-	// GroupSize is the group size in the nodes' settings, of which the run starts a few nodes only.
+	// GroupSize is the group size in the nodes' settings. The run starts only a few nodes of such a group.
 	GroupSize int `json:"group"`
 	// ServiceTime is the time that a server takes for a request. If it exceeds the classes' aim, every answer misses the aim.
 	ServiceTime time.Duration `json:"work"`
@@ -25,7 +25,7 @@
 }
 
 const (
-	overloadGroup       = 300
+	overloadGroupSize   = 300
 	overloadRate        = 60.0                   // requests a second to each node
 	capacityBurst       = 20                     // requests above the rate that the servers accept at once
 	overloadFactor      = 2.5                    // requested rate, as a multiple of the servers' capacity
@@ -34,13 +34,13 @@
 	releaseStepInterval = 900 * time.Millisecond // between two steps of a release
 	releaseInterval     = 20 * time.Second       // between two releases
 	releaseFraction     = 0.12                   // of the servers, in each step
-	throttlePeriod      = 30 * time.Millisecond  // in which a throttled node runs once, for its share of a core
+	throttlePeriod      = 30 * time.Millisecond  // in each of which a throttled node is stopped and continued once
 	minCPUShare         = 0.05                   // lower bound of a random CPU share
 	maxCPUShare         = 0.5                    // upper bound of a random CPU share
-	retryFraction       = 0.7                    // of the requests, whose clients retry
-	maxTries            = 4                      // of a client, the first included
-	minTryTime          = 100 * time.Millisecond // shortest time that a client waits for a try
-	maxBackoff          = 100 * time.Millisecond // between two tries
+	retryFraction       = 0.7                    // fraction of the requests whose clients retry
+	maxTries            = 4                      // limit of the tries of a client's request, the first included
+	minRequestDeadline  = 100 * time.Millisecond // shortest deadline of a request; with less left, its client does not retry
+	maxBackoff          = 100 * time.Millisecond // longest pause between two tries
 	retryHeader         = "X-Retry: 1\r\n"
 )
 
@@ -62,16 +62,16 @@
 
 // newOverload generates an overload.
 func newOverload(rng *rand.Rand, o Options, rate float64) *Overload {
-	v := &Overload{GroupSize: overloadGroup, ReleaseFraction: releaseFraction, ServiceTime: meanServiceTime}
+	overload := &Overload{GroupSize: overloadGroupSize, ReleaseFraction: releaseFraction, ServiceTime: meanServiceTime}
 	if rng.IntN(2) == 0 { // in half of the plans every answer misses the aim, in the others only the capacity falls short
-		v.ServiceTime = slowServiceTime
+		overload.ServiceTime = slowServiceTime
 	}
-	v.Capacity = rate * float64(o.Nodes) / overloadFactor
-	v.CPUShare = minCPUShare + (maxCPUShare-minCPUShare)*rng.Float64()
+	overload.Capacity = rate * float64(o.Nodes) / overloadFactor
+	overload.CPUShare = minCPUShare + (maxCPUShare-minCPUShare)*rng.Float64()
 	if o.CPUShare > 0 {
-		v.CPUShare = min(1, o.CPUShare)
+		overload.CPUShare = min(1, o.CPUShare)
 	}
-	return v
+	return overload
 }
 
 // classes returns the request classes of a plan.
@@ -125,9 +125,9 @@
 	for first := 0; first < len(r.servers)+2*step && ctx.Err() == nil; first += step {
 		now := time.Now()
 		phases := make(map[int]string)
-		r.setPhase(phases, first, step, phaseDraining)
-		r.setPhase(phases, first-step, step, phaseRemoved)
-		for _, s := range r.setPhase(phases, first-2*step, step, phaseUp) {
+		r.setStepPhase(phases, first, step, phaseDraining)
+		r.setStepPhase(phases, first-step, step, phaseRemoved)
+		for _, s := range r.setStepPhase(phases, first-2*step, step, phaseUp) {
 			r.checker.ColdStart(s, warmCapacity, now)
 		}
 		r.registry.setPhases(phases, now.UnixMilli())
@@ -135,8 +135,8 @@
 	}
 }
 
-// setPhase sets the phase of the servers of one step of a release, and returns them.
-func (r *Run) setPhase(phases map[int]string, first, step int, phase string) (servers []int) {
+// setStepPhase sets the phase of the servers of one step of a release in phases, and returns these servers.
+func (r *Run) setStepPhase(phases map[int]string, first, step int, phase string) (servers []int) {
 	for s := max(0, first); s < min(first+step, len(r.servers)); s++ {
 		phases[s] = phase
 		servers = append(servers, s)
@@ -151,7 +151,7 @@
 	began := time.Now()
 	for i := range maxTries {
 		remaining := class.Deadline - time.Since(began)
-		if remaining < minTryTime {
+		if remaining < minRequestDeadline {
 			return
 		}
 		status := p.requestOnce(n, class, remaining, i > 0)
@@ -193,20 +193,20 @@
 	return r.status
 }
 
-// usage is the resource usage of a run's nodes, for the comparison of sizes.
+// usage is the resource usage of a run's nodes, for the comparison of runs with different numbers of servers.
 type usage struct {
 	ProcessorTime time.Duration `json:"processor_time"` // mean per node
 	MemoryKB      int64         `json:"memory_kb"`      // maximum over the nodes
 	Descriptors   int           `json:"descriptors"`    // maximum over the nodes
 	Opened        float64       `json:"opened"`         // connections to servers, mean per node
 	ListBytes     float64       `json:"list_bytes"`     // from discovery, mean per node
-	Served        float64       `json:"served"`         // fraction of the answered tries with status 200
+	Served        float64       `json:"served"`         // fraction of the answered requests with status 200
 }
 
 // usageLimit is one row of the operators' table of limits (STANDING, fleets with up to sixteen times the transcribers).
 type usageLimit struct {
 	name               string
-	factor             float64 // of the usage at the usual size
+	factor             float64 // of the usage with the usual number of servers
 	offset             float64 // added to that
 	perThousandServers float64 // added for each thousand servers
 	value              func(usage) float64
@@ -220,28 +220,28 @@
 	{"KB of server lists", 2, 64, 500, func(u usage) float64 { return u.ListBytes / 1024 }},
 }
 
-// minServedRatio is the least fraction of the usual size's served ratio that a larger size has to reach.
+// minServedRatio is the lower limit of the served fraction with many servers, divided by that with the usual number.
 const minServedRatio = 0.85
 
-// CompareUsage compares the nodes' usage in a run with many servers with that of the same run at the usual number, one
-// line per limit. broken tells whether one was exceeded.
-func CompareUsage(usual, large Result) (lines []string, broken bool) {
+// CompareUsage compares the nodes' usage in a run with many servers with that in the same run with the usual number, and
+// returns one line per limit. exceeded tells whether a limit was exceeded.
+func CompareUsage(usual, large Result) (lines []string, exceeded bool) {
 	for _, l := range usageLimits {
 		usualValue, largeValue := l.value(usual.Usage), l.value(large.Usage)
 		limit := l.factor*usualValue + l.offset + l.perThousandServers*float64(large.Plan.Servers)/1000
 		verdict := "kept"
 		if largeValue > limit {
-			verdict, broken = "BROKEN", true
+			verdict, exceeded = "BROKEN", true
 		}
 		lines = append(lines, fmt.Sprintf("%s: %.2f at %d servers, %.2f at %d, at most %.2f: %s", l.name, usualValue, usual.Plan.Servers, largeValue,
 			large.Plan.Servers, limit, verdict))
 	}
 	verdict := "kept"
 	if large.Usage.Served < minServedRatio*usual.Usage.Served {
-		verdict, broken = "BROKEN", true
+		verdict, exceeded = "BROKEN", true
 	}
 	return append(lines, fmt.Sprintf("fraction served: %.3f and %.3f, at least %.3f: %s", usual.Usage.Served, large.Usage.Served,
-		minServedRatio*usual.Usage.Served, verdict)), broken
+		minServedRatio*usual.Usage.Served, verdict)), exceeded
 }
 
 // measureUsage reads the nodes' resource usage, before their processes end.
@@ -257,6 +257,6 @@
 	u.Descriptors = r.maxDescriptors
 	r.mu.Unlock()
 	u.ListBytes = float64(r.registry.bytesWritten.Load()) / float64(len(r.nodes))
-	u.Served = r.checker.servedRatio()
+	u.Served = r.checker.servedFraction()
 	return u
 }
--- a/internal/soak/plan.go
+++ b/internal/soak/plan.go
@@ -44,7 +44,7 @@
 	ClientsSlow        Kind = "slow-clients"    // clients send requests in small writes
 	ClientsIdle        Kind = "idle-clients"    // idle connections use up the descriptors
 	ClientsPipeline    Kind = "pipeline"        // clients pipeline many requests
-	SystemCallFaults   Kind = "system-calls"    // of some nodes fail at random throughout the run
+	SystemCallFaults   Kind = "system-calls"    // system calls of some nodes fail at random throughout the run
 	WallClockSteps     Kind = "wall-steps"      // some nodes' wall clocks are stepped, by seconds or by an hour
 )
 
@@ -54,7 +54,7 @@
 	RegistryDown, RegistrySilent, RegistrySlow, RegistryReset, ClientsLeave, ClientsFlood, ClientsStall, ClientsSlow, ClientsIdle,
 	ClientsPipeline, SystemCallFaults, WallClockSteps}
 
-// targetType tells what a kind's targets are: "nodes", "servers", or the empty string if it has none.
+// targetType returns what a kind's targets are: "nodes", "servers", or the empty string if it has none.
 func (k Kind) targetType() string {
 	switch k {
 	case NodeTerm, NodeKill, NodeReload, NodePause, NodeUpgrade, NodeStandby, LogClosed, LogStalled, ClientsFlood, ClientsStall, ClientsIdle,
@@ -92,7 +92,7 @@
 	NoDisruptions bool    // an overload without disruptions
 }
 
-// Plan is what happens in a run. The same options, seed included, give the same plan.
+// Plan describes the load and the disruptions of a run. The same options, seed included, give the same plan.
 type Plan struct {
 	Seed        uint64        `json:"seed"`
 	Duration    time.Duration `json:"duration"`
@@ -109,8 +109,8 @@
 
 const (
 	quietStart    = 3 * time.Second // before the first disruption
-	quietEnd      = 6 * time.Second // after the last disruption
-	burstInterval = 3 * time.Second // mean time from the middle of a burst to the next one
+	quietEnd      = 6 * time.Second // at the end of a run: no burst begins in it, and no disruption lasts into its second half
+	burstInterval = 3 * time.Second // mean time from the middle of a burst's span to the start of the next burst
 	burstSpan     = 2 * time.Second // in which the disruptions of a burst start
 	quietPeriod   = time.Minute     // without bursts, at most once in a run of longRun or more
 	longRun       = 3 * time.Minute
@@ -222,7 +222,7 @@
 	return d
 }
 
-// Affects tells whether the plan has a disruption of one of the kinds on a target.
+// Affects reports whether the plan has a disruption of one of the kinds on a target.
 func (p Plan) Affects(target int, kinds ...Kind) bool {
 	for _, d := range p.Disruptions {
 		if slices.Contains(kinds, d.Kind) && slices.Contains(d.Targets, target) {
--- a/internal/soak/registry.go
+++ b/internal/soak/registry.go
@@ -147,7 +147,7 @@
 
 func (r *registry) serve(w http.ResponseWriter, req *http.Request, node int) {
 	r.mu.Lock()
-	fault, cut := r.fault, r.watchesReset
+	fault, reset := r.fault, r.watchesReset
 	r.mu.Unlock()
 	switch fault {
 	case faultDown:
@@ -164,7 +164,7 @@
 		ms, _ := strconv.ParseInt(q.Get("wait"), 10, 64)
 		wait = time.Duration(ms) * time.Millisecond
 	}
-	if !r.awaitChange(req.Context(), index, wait, cut) {
+	if !r.awaitChange(req.Context(), index, wait, reset) {
 		panic(http.ErrAbortHandler)
 	}
 	r.writeList(w, index, node)
@@ -172,7 +172,7 @@
 
 // awaitChange waits until the list is newer than the index or the wait is over. It returns false if the connection has to
 // be reset.
-func (r *registry) awaitChange(ctx context.Context, index int64, wait time.Duration, cut chan struct{}) bool {
+func (r *registry) awaitChange(ctx context.Context, index int64, wait time.Duration, reset chan struct{}) bool {
 	timer := time.NewTimer(wait)
 	defer timer.Stop()
 	for {
@@ -186,7 +186,7 @@
 		case <-changed:
 		case <-timer.C:
 			return true
-		case <-cut:
+		case <-reset:
 			return false
 		case <-ctx.Done():
 			return false
@@ -194,8 +194,8 @@
 	}
 }
 
-// writeList answers with the entries that are newer than the index, or with the whole list if the index is negative. It tells
-// the checker which departures and starts it has written to the node.
+// writeList answers with the entries that are newer than the index, or with the whole list if the index is negative. It
+// reports to the checker which leaving and started servers it has written to the node.
 func (r *registry) writeList(w http.ResponseWriter, index int64, node int) {
 	r.mu.Lock()
 	if r.fault == faultDown || r.fault == faultSilent {
--- a/internal/soak/run.go
+++ b/internal/soak/run.go
@@ -24,9 +24,9 @@
 	sampleInterval   = 500 * time.Millisecond // of memory and open descriptors
 	progressInterval = 10 * time.Second       // between log messages on progress
 	warmCapacity     = 60.0                   // assumed capacity of a server after its slow start, in requests a second
-	readyFraction    = 0.9                    // of the starts, which have to be ready within readyWithin
+	readyFraction    = 0.9                    // fraction of the starts that have to be ready within readyWithin
 	readyWithin      = 10 * time.Second
-	maxPause         = 150 * time.Millisecond // longest SIGSTOP of a node
+	maxNodePause     = 150 * time.Millisecond // longest SIGSTOP of a node
 	firstSubnet      = 20                     // second octet of the nodes' loopback addresses, so that parallel runs use different ones
 	subnetCount      = 200
 )
@@ -55,7 +55,7 @@
 	Usage          usage            `json:"usage"`
 }
 
-// Failed tells whether the checker or a node found a violation of a rule.
+// Failed reports whether the checker or a node found a violation of a rule.
 func (r Result) Failed() bool { return len(r.Findings) > 0 || len(r.Violations) > 0 }
 
 // Run is a run in progress.
@@ -81,9 +81,9 @@
 	if err != nil {
 		return Result{}, err
 	}
-	running, cancel := context.WithCancel(ctx)
+	runCtx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	r := &Run{settings: s, plan: plan, checker: NewChecker(plan.Hedging), ctx: running, startTime: time.Now()}
+	r := &Run{settings: s, plan: plan, checker: NewChecker(plan.Hedging), ctx: runCtx, startTime: time.Now()}
 	r.clients = newClientPool(r.checker, plan.Seed)
 	r.clients.classes = plan.classes()
 	defer r.cleanUp()
@@ -97,17 +97,17 @@
 // setUp starts the servers, the registry and the nodes, and waits until all nodes are ready.
 func (r *Run) setUp() error {
 	var entries []scale.Entry
-	capacity := rate.NewLimiter(rate.Inf, 0)
-	if v := r.plan.Overload; v != nil {
-		capacity = rate.NewLimiter(rate.Limit(v.Capacity), capacityBurst)
+	capacityLimiter := rate.NewLimiter(rate.Inf, 0)
+	if overload := r.plan.Overload; overload != nil {
+		capacityLimiter = rate.NewLimiter(rate.Limit(overload.Capacity), capacityBurst)
 	}
 	for i := range r.plan.Servers {
 		s, err := newServer(i, r.checker, r.plan.Seed)
 		if err != nil {
 			return err
 		}
-		if v := r.plan.Overload; v != nil {
-			s.serviceTime, s.capacityLimiter = v.ServiceTime, capacity
+		if overload := r.plan.Overload; overload != nil {
+			s.serviceTime, s.capacityLimiter = overload.ServiceTime, capacityLimiter
 		}
 		r.servers = append(r.servers, s)
 		entries = append(entries, scale.Entry{ID: fmt.Sprintf("s-%04d", i), HostPort: s.addr(), Locality: "a", Flavor: "k",
@@ -208,11 +208,11 @@
 		wg.Go(func() { r.generateLoad(ctx, n) })
 	}
 	wg.Go(func() { r.sampleUsage(ctx) })
-	if v := r.plan.Overload; v != nil {
+	if overload := r.plan.Overload; overload != nil {
 		wg.Go(func() { r.releaseRepeatedly(ctx) })
 		for _, n := range r.nodes {
-			if v.CPUShare < 1 {
-				wg.Go(func() { r.throttle(ctx, n, v.CPUShare) })
+			if overload.CPUShare < 1 {
+				wg.Go(func() { r.throttle(ctx, n, overload.CPUShare) })
 			}
 		}
 	}
@@ -246,7 +246,7 @@
 		case <-ctx.Done():
 			return
 		}
-		wg.Go(func() { r.send(n) }) // on open connections only, while the front sends the node no new ones
+		wg.Go(func() { r.send(n) }) // on idle connections only, while the front opens no new ones to the node
 	}
 }
 
@@ -340,9 +340,9 @@
 	case NodeReload:
 		return r.reload(n, p)
 	case NodePause:
-		for end := time.Now().Add(d.Duration); time.Now().Before(end); r.wait(2 * maxPause) {
+		for end := time.Now().Add(d.Duration); time.Now().Before(end); r.wait(2 * maxNodePause) {
 			n.signal(p, syscall.SIGSTOP)
-			time.Sleep(time.Duration(r.clients.randomFloat() * float64(maxPause)))
+			time.Sleep(time.Duration(r.clients.randomFloat() * float64(maxNodePause)))
 			n.signal(p, syscall.SIGCONT)
 		}
 	case LogClosed, LogStalled:
--- a/internal/soak/server.go
+++ b/internal/soak/server.go
@@ -20,7 +20,7 @@
 	maxServiceTime       = 60 * time.Millisecond  // upper limit of a random service time
 	lateAnswerDelay      = 700 * time.Millisecond // added to the service time of a server with delayed answers
 	maxSecondAnswerDelay = 2 * time.Millisecond   // longest delay of a second answer after the first
-	fullLoadConcurrency  = 4                      // concurrent requests that it reports as a utilization of 1
+	fullLoadConcurrency  = 4                      // concurrent requests that a server reports as a utilization of 1
 )
 
 // server is a stand-in for one transcriber. It writes raw bytes, as disruptions need answers that net/http would not send.
@@ -89,8 +89,8 @@
 	s.resetConns(true)
 }
 
-// draw returns the random values for one request: a number in [0, 1) and a service time.
-func (s *server) draw() (float64, time.Duration) {
+// randomValues returns the random values for one request: a number in [0, 1) and a service time.
+func (s *server) randomValues() (float64, time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.rng.Float64(), min(maxServiceTime, time.Duration(s.rng.ExpFloat64()*float64(meanServiceTime)))
@@ -172,7 +172,7 @@
 	s := c.server
 	s.inFlight.Add(1)
 	defer s.inFlight.Add(-1)
-	chance, serviceTime := s.draw()
+	chance, serviceTime := s.randomValues()
 	disruption := s.currentDisruption()
 	if s.serviceTime > 0 {
 		serviceTime = s.serviceTime
--- a/internal/syserr/syserr.go
+++ b/internal/syserr/syserr.go
@@ -71,10 +71,10 @@
 // Reset starts again from Initial, after a call that succeeded.
 func (b *Backoff) Reset() { b.last = 0 }
 
-// Retry calls f until it succeeds, its error isn't retryable, the given time has passed or ctx has ended, and returns the
+// Retry calls f until it succeeds, its error isn't retryable, the timeout has passed or ctx has ended, and returns the
 // last error, or nil after a success.
-func Retry(ctx context.Context, within time.Duration, backoff Backoff, f func() error) error {
-	for deadline := time.Now().Add(within); ; {
+func Retry(ctx context.Context, timeout time.Duration, backoff Backoff, f func() error) error {
+	for deadline := time.Now().Add(timeout); ; {
 		err := f()
 		if err == nil || !Retryable(err) || ctx.Err() != nil || time.Now().After(deadline) {
 			return err
--- a/internal/wire/settings.go
+++ b/internal/wire/settings.go
@@ -127,7 +127,7 @@
 )
 
 // DecodeSettings reads the settings object of a node's configuration from a stream. Services and tenants may be many,
-// so only the text of one entry is held at a time; the text of all other keys is returned beside the settings.
+// so only the text of one entry is held at a time. The other keys are returned as well, as the text of a JSON object.
 func DecodeSettings(from *json.Decoder) (policy.Settings, []byte, error) {
 	var classes []policy.Class
 	var tenants []policy.Tenant
--- a/policy/admission.go
+++ b/policy/admission.go
@@ -28,8 +28,8 @@
 	}
 }
 
-// refilled reports whether k is full whatever the pace becomes: at its minimum, tokens are refilled at minPerSecond. A
-// new, full bucket in its place would then behave the same.
+// refilled reports whether k is full even if it is refilled at minPerSecond, the rate at the minimum pace. A new bucket,
+// which starts full, would then behave the same.
 func (k *bucket) refilled(now Time, minPerSecond float64, burst int64) bool {
 	return math.Floor((now-k.lastRefill).Seconds()*minPerSecond) >= float64(max(1, burst-k.tokens))
 }
@@ -123,7 +123,7 @@
 	}
 	b.requests[r.id] = r
 	b.recentRequests = append(dropBefore(b.recentRequests, b.now-b.attemptBudget.Span+1), b.now)
-	b.savedTrials = min(maxSavedTrials, b.savedTrials+trialShare)
+	b.trialBudget = min(maxTrialBudget, b.trialBudget+trialFraction)
 	if b.limitReached(r) {
 		b.giveUp(r, "worth nothing any more")
 		return
@@ -132,7 +132,8 @@
 		b.refuse(r, wait, "bucket")
 		return
 	}
-	// Capacity goes to the queued requests of highest worth first. The newest request is no evidence of capacity.
+	// While others are queued, a new request joins them, since capacity goes to the highest worth first. It doesn't
+	// adjust the pace: whether it finds room is no evidence of capacity.
 	if b.queue.len() > 0 {
 		b.enqueue(r)
 		b.dispatchQueued()
@@ -142,20 +143,20 @@
 }
 
 const (
-	elapsedSlack       = 0.04 // fraction of the deadline for time that hosts reserve and for clock differences
-	perTryTimeoutShare = 0.96 // of the deadline: a first try that waits for less shows a per-try timeout
+	elapsedSlack          = 0.04 // tolerance as a fraction of the deadline: hosts reserve some time, and clocks differ
+	perTryTimeoutFraction = 0.96 // of the deadline: a first try that waits for a smaller fraction has a per-try timeout
 )
 
 // elapsed returns how long, at least, the client of a retry has waited since its first try; the aim counts from there.
-// A try normally waits for the rest of the deadline. Where clients have a shorter per-try timeout, the wait says
-// nothing about earlier tries.
+// A try normally waits for the rest of the deadline, so the wait of a retry shows the time that earlier tries took.
+// Where clients have a shorter per-try timeout, it doesn't.
 func (c *class) elapsed(e Request) time.Duration {
 	if !e.Retry {
 		c.lastFirstTryWait = e.ExpiresIn
 		return 0
 	}
 	slack := time.Duration(elapsedSlack * float64(c.Deadline))
-	perTryTimeout := c.lastFirstTryWait < time.Duration(perTryTimeoutShare*float64(c.Deadline))
+	perTryTimeout := c.lastFirstTryWait < time.Duration(perTryTimeoutFraction*float64(c.Deadline))
 	if c.lastFirstTryWait == 0 || perTryTimeout && (e.ExpiresIn-c.lastFirstTryWait).Abs() < slack {
 		return 0
 	}
@@ -163,11 +164,11 @@
 }
 
 const (
-	paceIncrease, paceDecrease = 0.02, 0.02 // steps of the bucket rates per choice; equal, so half may find no room
-	minPace                    = 0.3        // below, faults that shedding can't fix would starve traffic within its share
-	cautiousPace               = 1.5        // above, the pace only rises while few answers are bad
-	maxBadFraction             = 0.06       // fraction of answers; one within its aim isn't bad, however slow
-	maxPace                    = 3.0        // above, there is little worth left to gain
+	paceIncrease, paceDecrease = 0.02, 0.02 // relative steps, one a request; equal, so up to half may find no room
+	minPace                    = 0.3        // lower, faults that shedding can't fix would starve traffic within its share
+	cautiousPace               = 1.5        // a pace above this rises only while few answers are bad, and falls otherwise
+	maxBadFraction             = 0.06       // fraction of bad answers that counts as few; one within its aim is never bad
+	maxPace                    = 3.0        // a higher one would gain little worth
 )
 
 // adjustPace scales all bucket rates alike by whether the servers have room. Without it, a slowdown of the whole fleet
@@ -178,7 +179,7 @@
 	case !room && b.pace <= 1 && b.serversShedEarly():
 	case !room:
 		minimum := minPace
-		// With many nodes, one node is often full by chance and sees too few requests to raise its rates in time.
+		// With many nodes, a node often finds no room by chance, and sees too few requests to raise its rates in time.
 		if b.oversubscribed() {
 			minimum = 1
 		}
--- a/policy/api.go
+++ b/policy/api.go
@@ -76,7 +76,7 @@
 type Allowed struct {
 	Cancel, Hedge, Probe, Peers, RetryAfter bool
 	MaxAttempts                             int           // per request; 0 counts as 1
-	MaxRetryAfter                           time.Duration // longest wait that clients follow
+	MaxRetryAfter                           time.Duration // longest Retry-After that clients observe
 	ConnIdle                                time.Duration // idle connections are closed after this time; 0 if unknown
 }
 
@@ -91,7 +91,7 @@
 // Rules holds the parameters of the rules.
 type Rules struct {
 	AnswerGrace       time.Duration  // a final answer is still in time this long after the deadline
-	DrainGrace        time.Duration  // sends to a draining server must end within this time
+	DrainGrace        time.Duration  // a node must stop sending to a draining server within this time
 	ColdShare         float64        // a server starts with at least this fraction of its capacity
 	ColdFor           time.Duration  // and is warm within this time
 	OverloadMultiple  float64        // a cold server fails if it is sent more than this multiple of its present capacity
@@ -215,7 +215,7 @@
 // ClientGone reports that the client has left; no answer is due any more.
 type ClientGone struct{ ID string }
 
-// ProcessCount reports how many processes this node has: two during an upgrade, which share what one may do.
+// ProcessCount reports how many processes this node has: two during an upgrade, which share one's limits.
 type ProcessCount struct{ N int }
 
 // Timer reports that a timer has expired.
--- a/policy/attempts.go
+++ b/policy/attempts.go
@@ -8,18 +8,18 @@
 
 const (
 	giveUpRetryAfter  = time.Second           // Retry-After of a request that is given up: the shortest of the buckets'
-	fullRetryCost     = 0.15                  // of an attempt, charged after a full answer where servers shed early
+	fullRetryCost     = 0.15                  // of an attempt: charge for a retry after a full answer, where servers shed early
 	queuePollInterval = 20 * time.Millisecond // between checks of queued requests
 	tailQuantile      = 0.95                  // latency quantile of a class after which its attempts are checked
-	tailStep          = 0.1                   // relative step of the estimate of it
-	tailMargin        = 1.2                   // times the estimate, an attempt counts as slow and may be hedged
+	tailStep          = 0.1                   // relative step of the estimate of that quantile
+	tailMargin        = 1.2                   // multiple of the estimate after which an attempt is slow and may be hedged
 	latencyGain       = 0.2                   // weight of one answer in the mean latency of a server
 	answerRateWindow  = 3 * time.Second       // time constant of the answer rate: covers a few even at a quiet node
 
-	queueToken, listToken, watchToken = 1, 2, 8 // of timers; those of the classes count up from the last
+	queueToken, listToken, slowCheckToken = 1, 2, 8 // timer tokens; each class adds its index to the last
 )
 
-var defaultBudget = AttemptBudget{MinExtra: 20, ExtraShare: 0.2, Span: 10 * time.Second} // where the settings have none
+var defaultAttemptBudget = AttemptBudget{MinExtra: 20, ExtraShare: 0.2, Span: 10 * time.Second} // where the settings have none
 
 // dispatch sends r to a server, queues it if one may still become available, or gives it up.
 func (b *Balancer) dispatch(r *request) {
@@ -36,7 +36,7 @@
 
 // exhausted reports whether r must not be sent any more, even where there is room.
 func (b *Balancer) exhausted(r *request) bool {
-	return b.limitReached(r) || len(r.attempts) > 0 && !b.withinRetryBudget()
+	return b.limitReached(r) || len(r.attempts) > 0 && !b.withinAttemptBudget()
 }
 
 // trySend sends r to a server if one is available.
@@ -61,18 +61,18 @@
 	return len(r.attempts) >= max(1, b.settings.Allowed.MaxAttempts) || b.now >= r.usefulUntil
 }
 
-// withinRetryBudget enforces rule 6: attempts beyond the first of each request stay within the retry budget of the
+// withinAttemptBudget enforces rule 6: attempts beyond the first of each request stay within the attempt budget of the
 // settings, or the default one, so that they don't amplify an overload. The count is exact over the sliding span, and
 // errs on the strict side at its edges.
-func (b *Balancer) withinRetryBudget() bool {
+func (b *Balancer) withinAttemptBudget() bool {
 	from := b.now - b.attemptBudget.Span
 	b.recentRequests, b.recentExtra = dropBefore(b.recentRequests, from+1), dropBefore(b.recentExtra, from)
 	return float64(len(b.recentExtra)+1) <= b.attemptBudget.MinExtra+b.attemptBudget.ExtraShare*float64(len(b.recentRequests))-1e-9 // tolerance for rounding
 }
 
-// chargeRetry charges another attempt of r to the retry budget: fullRetryCost where servers shed early, nothing of r
-// may have run and the settings have no budget, else a whole attempt.
-func (b *Balancer) chargeRetry(r *request) {
+// chargeExtraAttempt charges another attempt of r to the attempt budget: fullRetryCost where servers shed early, nothing
+// of r may have run and the settings have no budget, else a whole attempt.
+func (b *Balancer) chargeExtraAttempt(r *request) {
 	b.uncountedExtra++
 	if b.settings.Rules.AttemptBudget == nil && r.firstRun == nil && b.serversShedEarly() {
 		b.uncountedExtra -= 1 - fullRetryCost
@@ -85,7 +85,7 @@
 
 func (b *Balancer) send(r *request, s *server, trial bool) {
 	if len(r.attempts) > 0 {
-		b.chargeRetry(r)
+		b.chargeExtraAttempt(r)
 	}
 	idle := b.prepareConn(s)
 	a := Action{Kind: Send, ID: r.id, Server: s.Server, Until: r.usefulUntil}
@@ -94,36 +94,36 @@
 	}
 	b.emit(a)
 	r.attempts = append(r.attempts, attempt{server: s, sent: b.now, trial: trial, idleOctave: idle})
-	r.openAttempts++
-	if s.inflight == 0 {
+	r.inFlight++
+	if s.inFlight == 0 {
 		s.busySince = b.now
 	}
-	s.inflight++
+	s.inFlight++
 	s.noteConnUse(b.now)
 	b.markUsed(s)
 	s.lastSend = b.now
 	s.cold.tokens--
 	b.updateStatus(s)
-	r.updateRanOn()
-	b.watch(r)
+	r.updateFirstRun()
+	b.scheduleSlowCheck(r)
 }
 
-// watch queues the newest attempt of r for a check when it is slow. All attempts of a class wait for about as long, so
-// one timer serves them all.
-func (b *Balancer) watch(r *request) {
+// scheduleSlowCheck schedules a check of the newest attempt of r for the time from which it counts as slow. That delay
+// is about the same for all attempts of a class, so one timer per class is enough.
+func (b *Balancer) scheduleSlowCheck(r *request) {
 	if c := r.class; c.index >= 0 {
 		due := b.now + time.Duration(tailMargin*float64(c.tailLatency))
-		c.watched = append(c.watched, slowCheck{r, len(r.attempts) - 1, due})
-		b.armWatchTimer(c)
+		c.slowChecks = append(c.slowChecks, slowCheck{r, len(r.attempts) - 1, due})
+		b.setSlowCheckTimer(c)
 	}
 }
 
-// armWatchTimer sets the timer of a class for the first of its watched attempts.
-func (b *Balancer) armWatchTimer(c *class) {
-	if !c.watchTimerSet && len(c.watched) > 0 {
-		c.watchTimerSet = true
-		b.emit(Action{Kind: SetTimer, Wait: max(time.Millisecond, c.watched[0].due-b.now),
-			Token: watchToken + uint64(c.index)})
+// setSlowCheckTimer sets the timer of a class for the first of its slowChecks, unless it is set.
+func (b *Balancer) setSlowCheckTimer(c *class) {
+	if !c.slowCheckTimerSet && len(c.slowChecks) > 0 {
+		c.slowCheckTimerSet = true
+		b.emit(Action{Kind: SetTimer, Wait: max(time.Millisecond, c.slowChecks[0].due-b.now),
+			Token: slowCheckToken + uint64(c.index)})
 	}
 }
 
@@ -134,37 +134,37 @@
 		b.dispatchQueued()
 	case token == listToken:
 		b.requestList()
-	case token >= watchToken && token < watchToken+uint64(len(b.classList)):
-		b.checkSlowAttempts(b.classList[token-watchToken])
+	case token >= slowCheckToken && token < slowCheckToken+uint64(len(b.classList)):
+		b.checkSlowAttempts(b.classList[token-slowCheckToken])
 	}
 }
 
-// checkSlowAttempts looks at the attempts of a class that have been in flight for long: a failure is counted against a
-// server that has been silent since, and a request that may run twice is hedged.
+// checkSlowAttempts checks the attempts of a class that are slow by now. If the server has answered nothing since such
+// an attempt was sent, that counts as a failure of the server, and the request is hedged if it may run twice.
 func (b *Balancer) checkSlowAttempts(c *class) {
-	c.watchTimerSet = false
-	for len(c.watched) > 0 && c.watched[0].due <= b.now {
-		w := c.watched[0]
-		c.watched[0] = slowCheck{}
-		c.watched = c.watched[1:]
-		a := &w.req.attempts[w.attempt]
+	c.slowCheckTimerSet = false
+	for len(c.slowChecks) > 0 && c.slowChecks[0].due <= b.now {
+		check := c.slowChecks[0]
+		c.slowChecks[0] = slowCheck{}
+		c.slowChecks = c.slowChecks[1:]
+		a := &check.req.attempts[check.attempt]
 		if a.ended || a.server.lastAnswer >= a.sent {
-			// The server answers others, so this request is heavy, and its second copy would be as heavy.
+			// If the server answers other requests, this one is heavy, and its second copy would be as heavy.
 			continue
 		}
 		if a.idleOctave == 0 {
 			b.recordFailure(a.server, silenceWeight, TimedOut)
 		}
-		if !w.req.ended && !w.req.streaming && w.req.openAttempts == 1 {
-			b.hedge(w.req)
+		if !check.req.ended && !check.req.streaming && check.req.inFlight == 1 {
+			b.hedge(check.req)
 		}
 	}
-	b.armWatchTimer(c)
+	b.setSlowCheckTimer(c)
 }
 
-// hedge sends a second copy of r if its class, the settings and the retry budget allow one.
+// hedge sends a second copy of r if its class, the settings and the attempt budget allow one.
 func (b *Balancer) hedge(r *request) {
-	if r.class.Repeat == Never || !b.settings.Allowed.Hedge || !b.withinRetryBudget() || b.limitReached(r) {
+	if r.class.Repeat == Never || !b.settings.Allowed.Hedge || !b.withinAttemptBudget() || b.limitReached(r) {
 		return
 	}
 	if s, room := b.pick(r); s != nil && room {
@@ -175,7 +175,7 @@
 // giveUp ends r without an answer of a server: refused where the client may safely retry, else failed. The reason is
 // for the log.
 func (b *Balancer) giveUp(r *request, reason string) {
-	if r.openAttempts > 0 {
+	if r.inFlight > 0 {
 		return // a copy is still in flight and may answer
 	}
 	if r.firstRun == nil || r.class.Repeat == Free || r.class.Repeat == Guarded && r.class.Group == GroupAll {
@@ -198,7 +198,7 @@
 		b.queue.remove(r)
 		b.cancel(r, -1)
 	}
-	if r.openAttempts == 0 {
+	if r.inFlight == 0 {
 		delete(b.requests, r.id)
 	}
 }
--- a/policy/balancer.go
+++ b/policy/balancer.go
@@ -12,9 +12,9 @@
 	b := &Balancer{
 		settings: set, now: now, rng: rand.New(rand.NewPCG(seed, uint64(set.Node))),
 		classes: make(map[string]*class), tenants: make(map[string]Limit, len(set.Tenants)),
-		buckets: make(map[bucketKey]*bucket), pace: 1, sharedThresholdScale: 1, faultWeight: 1, fairShareScale: 1, savedTrials: maxSavedTrials, processCount: 1,
+		buckets: make(map[bucketKey]*bucket), pace: 1, sharedThresholdScale: 1, faultWeight: 1, fairShareScale: 1, trialBudget: maxTrialBudget, processCount: 1,
 		warmRates: make(map[string]float64),
-		servers:   make(map[string]*server), requests: make(map[string]*request), attemptBudget: defaultBudget,
+		servers:   make(map[string]*server), requests: make(map[string]*request), attemptBudget: defaultAttemptBudget,
 		serverIndex: newServerIndex(),
 	}
 	if set.Rules.AttemptBudget != nil {
@@ -60,7 +60,7 @@
 	case MemberList:
 		b.onList(e)
 	case ProcessCount:
-		b.setProcesses(max(1, e.N))
+		b.setProcessCount(max(1, e.N))
 	}
 	return b.actions
 }
--- a/policy/golden_test.go
+++ b/policy/golden_test.go
@@ -328,7 +328,7 @@
 	fmt.Fprintf(&t, "pace=%.2f bad=%.2f full=%.2f lost=%.2f blame=%.2f held=%d extra=%d", b.pace, b.badFraction,
 		b.fullFraction, b.timeoutFraction, b.faultWeight, b.queue.len(), len(b.recentExtra))
 	for _, s := range b.packingOrder() {
-		fmt.Fprintf(&t, " %s=%d/%.1f", s.Server, s.inflight, b.limit(s))
+		fmt.Fprintf(&t, " %s=%d/%.1f", s.Server, s.inFlight, b.scaledThreshold(s))
 		if s.health.ejected {
 			t.WriteString("/out")
 		}
--- a/policy/index.go
+++ b/policy/index.go
@@ -9,7 +9,7 @@
 )
 
 // Indexes over the servers in service, so that the cost of an event depends on what it changes and not on the
-// size of the fleet. They make no decisions, and only the methods in this file modify them.
+// size of the fleet. They make no decisions, and only the methods in this file and in status.go modify them.
 
 // serverIndex holds the indexes over all servers in service.
 type serverIndex struct {
@@ -19,10 +19,10 @@
 	poolsOfAnyKind   []*pool // pools of classes that are bound to zones only
 	groups           map[groupKey]*group
 	serversByZone    map[string]int // number of servers in service in each zone that has any
-	warmInFlight     int            // attempts held by warm servers that are not ejected
+	warmOutstanding  int            // outstanding attempts of warm servers that are not ejected
 	warmServers      int            // number of these servers
 	reevaluationHeap serverHeap     // by the time at which a server's status changes without an event
-	rotation         []*server      // servers whose status also depends on other servers, re-evaluated round-robin
+	rotation         []*server      // servers whose status also depends on other servers, reevaluated round-robin
 	rotationCursor   int            // round-robin position in rotation
 	splitByCell      bool           // some class may be repeated within a cell
 	lowerFaults      serverHeap     // max-heap of the lower half of the fault rates of servers that have answered
@@ -32,7 +32,7 @@
 	previousOrder    []*server      // while a full list is applied: membershipOrder before it
 	previousNext     int            // position in previousOrder of the next expected server
 	previousUnseen   int            // listed servers of previousOrder that the list has not named yet
-	visits           *int           // entries visited so far; tests compare it with the size
+	visits           *int           // entries visited so far; tests compare it with the size of the fleet
 }
 
 // indexEntry is the indexes' part of each server. The fields that are read while a full list is applied are
@@ -61,14 +61,14 @@
 	x.fleet = newPool(x.visits)
 	for _, h := range []struct {
 		heap *serverHeap
-		spot int
+		id   int
 		less func(s, t *server) bool
 	}{
 		{&x.reevaluationHeap, reevaluationHeapID, func(s, t *server) bool { return s.status.reevaluateAt < t.status.reevaluateAt }},
 		{&x.lowerFaults, lowerFaultsID, func(s, t *server) bool { return s.rankedFaultRate > t.rankedFaultRate }},
 		{&x.upperFaults, upperFaultsID, func(s, t *server) bool { return s.rankedFaultRate < t.rankedFaultRate }},
 	} {
-		*h.heap = serverHeap{id: h.spot, less: h.less, visits: x.visits}
+		*h.heap = serverHeap{id: h.id, less: h.less, visits: x.visits}
 	}
 	return x
 }
@@ -141,7 +141,7 @@
 	groupKey
 	serverCount    int     // listed servers in the group
 	pools          []*pool // pools that contain its servers, the fleet first
-	mostRepeatable Repeat  // highest Repeat of the classes that may use its servers; such classes give the trials
+	mostRepeatable Repeat  // highest Repeat of the classes that may use its servers; their requests are used for trials
 }
 
 // joinGroup returns the group of s, which is created if needed, and counts s in it.
--- a/policy/index_test.go
+++ b/policy/index_test.go
@@ -89,7 +89,7 @@
 		}
 		if b.rampFraction(s) >= 1 && !s.health.ejected {
 			warm++
-			inFlight += s.inflight
+			inFlight += s.inFlight
 			for _, late := range s.abandoned {
 				if late.until > b.now {
 					inFlight++
@@ -146,7 +146,7 @@
 // linearPick is pick by linear scans of all servers. It uses the budgets of cold servers as of their last refill.
 func (b *Balancer) linearPick(r *request) (*server, bool) {
 	usable := func(s *server) bool {
-		return !s.health.ejected && b.mayRun(r, s) && (b.rampFraction(s) >= 1 || s.cold.tokens >= 1)
+		return !s.health.ejected && b.maySendTo(r, s) && (b.rampFraction(s) >= 1 || s.cold.tokens >= 1)
 	}
 	for _, s := range b.packingOrder() {
 		if b.rampFraction(s) < 1 && usable(s) && b.hasRoom(s) {
@@ -168,7 +168,7 @@
 			least = s
 		}
 	}
-	if least != nil && b.utilization(least) > overcommitLimit && !b.serversShedEarly() {
+	if least != nil && b.utilization(least) > overcommitFactor && !b.serversShedEarly() {
 		return nil, !least.thresholdCut
 	}
 	return least, least != nil && !least.thresholdCut
@@ -176,7 +176,7 @@
 
 // linearPickTrial returns what pickTrial should return, by a linear scan of all servers; nil for none.
 func (b *Balancer) linearPickTrial(r *request) *server {
-	if !r.class.eligible.hasClasses || len(r.attempts) > 0 || b.savedTrials < 1 {
+	if !r.class.eligible.hasClasses || len(r.attempts) > 0 || b.trialBudget < 1 {
 		return nil
 	}
 	for _, s := range b.packingOrder() {
@@ -211,12 +211,12 @@
 				covered["not picked"]++
 			}
 			wantTrial := b.linearPickTrial(r)
-			trials := b.savedTrials
+			trials := b.trialBudget
 			if got := b.pickTrial(r); got != wantTrial {
 				t.Errorf("class %q: picked %v for a trial, want %v", c.Name, got, wantTrial)
 			} else if got != nil {
 				covered["tried"]++
-				got.health.trialPending, b.savedTrials = false, trials
+				got.health.trialPending, b.trialBudget = false, trials
 			}
 		}
 	}
--- a/policy/keyhash.go
+++ b/policy/keyhash.go
@@ -8,8 +8,8 @@
 // Rendezvous hashing of keys over servers, in time logarithmic in their number: at each fork of a binary trie
 // of the servers' hashes, a key chooses between the two subtrees, weighted by the servers in each ("weighted
 // rendezvous" and "skeleton" of Thaler and Ravishankar, and of Wang and Ravishankar). Adding or removing a
-// server moves hardly more keys than its own; a removed server's key goes to the server that was second for
-// it.
+// server moves few keys beyond those that it serves; a removed server's key goes to the server that was second
+// for it.
 
 // keyTrie holds servers by the bits of their mixed hashes. The zero value with visits set is empty.
 type keyTrie struct {
@@ -33,7 +33,7 @@
 	return h ^ h>>31
 }
 
-func bitAt(place uint64, bit int) int { return int(place >> (63 - bit) & 1) }
+func bitAt(mixed uint64, bit int) int { return int(mixed >> (63 - bit) & 1) }
 
 // insert adds a server, in place of one with the same hash if there is one.
 func (t *keyTrie) insert(s *server) {
@@ -61,7 +61,7 @@
 // remove deletes a server.
 func (t *keyTrie) remove(s *server) { t.root = t.removeAt(t.root, s, mixHash(s.hash)) }
 
-func (t *keyTrie) removeAt(at *trieNode, s *server, place uint64) *trieNode {
+func (t *keyTrie) removeAt(at *trieNode, s *server, mixed uint64) *trieNode {
 	switch *t.visits++; {
 	case at == nil:
 		return nil
@@ -71,8 +71,8 @@
 		}
 		return at
 	}
-	side := bitAt(place, at.bit)
-	at.child[side] = t.removeAt(at.child[side], s, place)
+	side := bitAt(mixed, at.bit)
+	at.child[side] = t.removeAt(at.child[side], s, mixed)
 	if at.child[side] == nil {
 		return at.child[1-side]
 	}
--- a/policy/membership.go
+++ b/policy/membership.go
@@ -102,7 +102,7 @@
 	return s
 }
 
-// removeServer removes a server that left the list; its open attempts still end.
+// removeServer removes a server that left the list; its attempts in flight still end.
 func (b *Balancer) removeServer(s *server) {
 	b.deleteServer(s)
 	s.Availability = Removed
@@ -110,7 +110,7 @@
 
 // placeServers puts servers into the packing order: own zone first, since crossing zones costs, then by id,
 // each set from where this node's walk begins. Draining servers are left out at once, well within the drain
-// grace of the third rule. New servers draw their random initial state in packing order, once all are placed.
+// grace of rule 3. New servers draw their random initial state in packing order, once all are placed.
 func (b *Balancer) placeServers(toPlace []*server) {
 	slices.SortFunc(toPlace, func(x, y *server) int { return cmp.Compare(x.Server, y.Server) })
 	var newServers []*server
--- a/policy/ordertree.go
+++ b/policy/ordertree.go
@@ -5,15 +5,15 @@
 	"math"
 )
 
-// A tree of servers by id, searched by what they can take: the first server from an id on whose key is low
-// enough, and the server with the lowest key, each in time logarithmic in the number of servers. It makes no
-// decisions.
+// A tree of servers by id, each with keys such as its load. It finds the first server at or after an id whose
+// key is low enough, and the server with the lowest key, each in time logarithmic in the number of servers. It
+// makes no decisions.
 
 // treeKey selects one of the keys of a server in an orderTree.
 type treeKey int
 
 const (
-	roomKey      treeKey   = iota // attempts held / threshold; absent while there is no room at any threshold
+	roomKey      treeKey   = iota // outstanding attempts / threshold; absent while the server has no room whatever its load
 	loadKey                       // the same with one attempt more
 	trialAtKey   = roomKey        // in a tree of ejected servers: the time from which a trial is allowed
 	treeKeyCount = 2
@@ -54,7 +54,7 @@
 	return n.size
 }
 
-// update recomputes what a node stores of its subtree.
+// update recomputes what a node stores about its subtree.
 func (n *treeNode) update() {
 	n.size = 1 + n.left.count() + n.right.count()
 	n.minKeys = n.keys
--- a/policy/outcomes.go
+++ b/policy/outcomes.go
@@ -21,12 +21,12 @@
 	}
 	a := &r.attempts[e.Attempt]
 	a.ended, a.notRun = true, e.Code.NotRun()
-	r.openAttempts--
+	r.inFlight--
 	a.server.noteConnUse(b.now)
-	a.server.inflight--
-	a.server.keepLateResponse(r, a, e.Code)
+	a.server.inFlight--
+	a.server.updateAbandoned(r, a, e.Code)
 	b.recordLoadReport(a.server, e.Report)
-	r.updateRanOn()
+	r.updateFirstRun()
 	b.observe(r, a, e)
 	b.updateStatus(a.server)
 	if !a.server.delisted {
@@ -35,7 +35,7 @@
 	switch {
 	case e.Ended || r.ended || e.Code == OK:
 		b.end(r)
-	case r.openAttempts > 0: // a copy may still answer
+	case r.inFlight > 0: // a copy may still answer
 	case e.Code == NotSent || b.now >= r.deadline || r.streaming ||
 		r.firstRun != nil && r.class.Repeat == Never:
 		b.giveUp(r, e.Code.String())
@@ -44,19 +44,19 @@
 	}
 }
 
-// keepLateResponse keeps an attempt that was given up in the count of what is outstanding at s. Servers take up work in
-// order, so an answer shows that everything sent before it was taken up.
-func (s *server) keepLateResponse(r *request, a *attempt, code Code) {
+// updateAbandoned keeps an attempt that was given up in the count of those outstanding at s. Servers start attempts in
+// order, so an answer shows that all those sent before it were started, and abandoned ones of them no longer count.
+func (s *server) updateAbandoned(r *request, a *attempt, code Code) {
 	switch code {
 	case TimedOut, Cancelled:
 		s.abandoned = append(s.abandoned, abandonedAttempt{sent: a.sent, until: a.sent + r.class.Deadline})
 	case OK:
-		s.abandoned = slices.DeleteFunc(s.abandoned, func(late abandonedAttempt) bool { return late.sent <= a.sent })
+		s.abandoned = slices.DeleteFunc(s.abandoned, func(other abandonedAttempt) bool { return other.sent <= a.sent })
 	}
 }
 
-// updateRanOn finds the first attempt of r that may have run; one without an outcome may have.
-func (r *request) updateRanOn() {
+// updateFirstRun finds the first attempt of r that may have run; one without an outcome may have.
+func (r *request) updateFirstRun() {
 	r.firstRun = nil
 	for i := range r.attempts {
 		if !r.attempts[i].notRun {
@@ -80,7 +80,8 @@
 			return
 		}
 	case Cancelled:
-		// Cancelled by this node itself. But a trial that needed a second copy has failed.
+		// This node cancelled the attempt, which says nothing about the server. But a trial that needed a second copy
+		// has failed.
 		if !a.trial {
 			return
 		}
@@ -96,13 +97,13 @@
 	}
 	if e.Code == OK {
 		b.decayedAnswerRate, b.answerRateAt = b.answerRate()+1/answerRateWindow.Seconds(), b.now
-		c.updateTail(e.Latency)
+		c.updateTailLatency(e.Latency)
 	}
 	b.updateBreaker(a, e.Code)
 }
 
-// updateTail updates the estimate of the tailQuantile of the latency of a class.
-func (c *class) updateTail(latency time.Duration) {
+// updateTailLatency updates the estimate of the tailQuantile of the latency of a class.
+func (c *class) updateTailLatency(latency time.Duration) {
 	step := -(1 - tailQuantile)
 	if latency > c.tailLatency {
 		step = tailQuantile
--- a/policy/outlier.go
+++ b/policy/outlier.go
@@ -14,11 +14,11 @@
 	baseEjectionTime   = time.Second     // first ejection, doubled each time
 	maxEjectionTime    = 8 * time.Second // longest ejection
 	maxEjectedFraction = 0.4             // of the servers open to a class; if more seem bad, the cause isn't the servers
-	trialsNeeded       = 3               // in a row: half of the trials pass at a server that fails half of its requests
-	// trialShare is the fraction of a node's requests that failed trials may use. Without a bound, the trials of all nodes
-	// together would keep many servers overloaded and cost most requests their time.
-	trialShare     = 0.05
-	maxSavedTrials = trialsNeeded // failed trials that may be saved up
+	trialsNeeded       = 3               // successes in a row to end an ejection: a server that fails half of its requests passes half of the trials
+	// trialFraction is the fraction of a node's requests that failed trials may use. Without a bound, the trials of all
+	// nodes together would keep many servers overloaded and cost most requests their time.
+	trialFraction  = 0.05
+	maxTrialBudget = trialsNeeded // upper bound of Balancer.trialBudget
 )
 
 // updateBreaker updates the circuit breaker of an attempt's server by the outcome.
@@ -26,7 +26,7 @@
 	s, h := a.server, &a.server.health
 	switch {
 	case h.ejected && a.trial && code == OK:
-		b.savedTrials = min(maxSavedTrials, b.savedTrials+1) // a successful trial cost nothing, so it doesn't count
+		b.trialBudget = min(maxTrialBudget, b.trialBudget+1) // a successful trial cost nothing, so the budget gets it back
 		if h.goodTrials++; h.hung || h.goodTrials >= trialsNeeded {
 			b.setEjected(s, false)
 			*h, s.threshold = health{}, b.initialThreshold(s)
@@ -57,8 +57,8 @@
 	}
 }
 
-// mayEject applies the limit on ejections to each class by itself, so that the few servers that one may be bound to are
-// not all ejected while the fleet as a whole looks healthy.
+// mayEject applies maxEjectedFraction to the servers of each class separately, so that the few that a class may be bound
+// to are not all ejected while the fleet as a whole looks healthy.
 func (b *Balancer) mayEject(s *server) bool {
 	for _, p := range s.group.pools {
 		if p.hasClasses && float64(p.ejectedCount+1) > maxEjectedFraction*float64(p.len()) {
@@ -68,8 +68,9 @@
 	return true
 }
 
-// eject takes s out of service for a while, longer each time. A server that was merely silent usually recovers soon,
-// and its first answer shows it: its ejections don't get longer, and one successful trial ends them.
+// eject stops requests to s for a while, longer each time; trials then show whether it works again. A hung server, which
+// was merely silent, usually recovers soon, and its first answer shows it: its ejections don't get longer, and one
+// successful trial ends them.
 func (b *Balancer) eject(s *server, hung bool) {
 	h := &s.health
 	if hung {
@@ -81,27 +82,27 @@
 }
 
 // pickTrial returns an ejected server that is due for a trial, if r can safely make it: of the classes that may use the
-// server, that of r must be one with the fewest limits on repeats. A class that isn't in the settings makes no trials
-// if each class that is has servers of its own.
+// server, that of r must be one with the fewest limits on repeats. Requests of a class that isn't in the settings make no
+// trials if every class in the settings is bound to kinds or zones.
 func (b *Balancer) pickTrial(r *request) *server {
 	p := r.class.eligible
-	if !p.hasClasses || p.ejectedCount == 0 || len(r.attempts) > 0 || b.savedTrials < 1 {
+	if !p.hasClasses || p.ejectedCount == 0 || len(r.attempts) > 0 || b.trialBudget < 1 {
 		return nil
 	}
-	s := b.firstReady(&p.ownZone, b.fleet.ownZone.walkStart, r.class.Repeat)
+	s := b.firstTrialDue(&p.ownZone, b.fleet.ownZone.walkStart, r.class.Repeat)
 	if s == nil {
-		s = b.firstReady(&p.otherZones, b.fleet.otherZones.walkStart, r.class.Repeat)
+		s = b.firstTrialDue(&p.otherZones, b.fleet.otherZones.walkStart, r.class.Repeat)
 	}
 	if s != nil {
 		s.health.trialPending = true
-		b.savedTrials--
+		b.trialBudget--
 	}
 	return s
 }
 
-// firstReady returns the first ejected server in packing order that is due for a trial, and that a request with this
+// firstTrialDue returns the first ejected server in packing order that is due for a trial, and that a request with this
 // Repeat may try; nil if there is none.
-func (b *Balancer) firstReady(p *serverSet, start *server, repeat Repeat) (first *server) {
+func (b *Balancer) firstTrialDue(p *serverSet, start *server, repeat Repeat) (first *server) {
 	for level := range repeat + 1 {
 		s := p.ejected[level].first(start, trialAtKey, float64(b.now))
 		if s != nil && (first == nil || b.comparePacking(s, first) < 0) {
--- a/policy/queue.go
+++ b/policy/queue.go
@@ -13,10 +13,10 @@
 // lane holds the queued requests of one class: those that were not sent yet, or the retries.
 type lane struct {
 	retries  bool
-	waiting  []*request // oldest first; some have left the queue
+	queued   []*request // oldest first; may contain requests that have left the queue
 	next     int        // during a check of the queue: index in waiting of the next request
-	noServer bool       // likewise: no request of the lane finds a server
-	blocked  bool       // likewise: and those that haven't expired stay queued
+	noServer bool       // likewise: no request of the lane finds a server any more
+	blocked  bool       // likewise: noServer is set, and requests that haven't expired stay queued
 	expired  []*request // likewise: those that have expired, oldest first
 }
 
@@ -54,7 +54,7 @@
 		l = &lane{retries: key.retries}
 		q.lanes[key] = l
 	}
-	l.waiting = append(l.waiting, r)
+	l.queued = append(l.queued, r)
 	heap.Push(&q.expiry, r)
 }
 
@@ -71,8 +71,8 @@
 	for key, l := range q.lanes {
 		l.next = 0
 		l.skipDeparted()
-		l.waiting, l.next = l.waiting[l.next:], 0
-		if len(l.waiting) == 0 {
+		l.queued, l.next = l.queued[l.next:], 0
+		if len(l.queued) == 0 {
 			delete(q.lanes, key)
 			continue
 		}
@@ -100,7 +100,7 @@
 
 // skipDeparted advances past requests that have left the queue.
 func (l *lane) skipDeparted() {
-	for l.next < len(l.waiting) && departed(l.waiting[l.next]) {
+	for l.next < len(l.queued) && departed(l.queued[l.next]) {
 		l.next++
 	}
 }
@@ -121,14 +121,14 @@
 		return l.expired[0]
 	}
 	l.skipDeparted()
-	if l.next == len(l.waiting) {
+	if l.next == len(l.queued) {
 		return nil
 	}
-	return l.waiting[l.next]
+	return l.queued[l.next]
 }
 
-// keepWaiting leaves r, the head, in the queue and moves on to the next request.
-func (l *lane) keepWaiting(r *request) {
+// keepQueued leaves r, the head, in the queue and moves on to the next request.
+func (l *lane) keepQueued(r *request) {
 	l.next++
 	for len(l.expired) > 0 && l.expired[0].queueEntry.seq <= r.queueEntry.seq {
 		l.expired = l.expired[1:]
@@ -173,8 +173,8 @@
 	return r
 }
 
-// Waiting returns how many requests are queued for a server.
-func (b *Balancer) Waiting() int { return b.queue.len() }
+// QueueLength returns how many requests are queued for a server.
+func (b *Balancer) QueueLength() int { return b.queue.len() }
 
 // enqueue queues r until a server is available.
 func (b *Balancer) enqueue(r *request) {
@@ -219,24 +219,24 @@
 		b.giveUp(r, "no attempts left")
 	case !l.noServer && b.trySend(r):
 		b.queue.remove(r)
-		l.waiting[l.next] = nil
+		l.queued[l.next] = nil
 	case b.now >= r.queueEntry.expires:
-		l.noServer = l.noServer || b.blocksLane(l, r)
+		l.noServer = l.noServer || b.laneHasNoServer(l, r)
 		b.queue.remove(r)
 		b.giveUp(r, "no server has room")
 	default:
 		b.scheduleQueuePoll()
-		if l.noServer = l.noServer || b.blocksLane(l, r); l.noServer {
+		if l.noServer = l.noServer || b.laneHasNoServer(l, r); l.noServer {
 			l.blocked = true
 		} else {
-			l.keepWaiting(r)
+			l.keepQueued(r)
 		}
 	}
 }
 
-// blocksLane reports whether no other request in the lane of r finds a server, given that r found none. Other retries
-// may go to a server that r was already sent to.
-func (b *Balancer) blocksLane(l *lane, r *request) bool {
+// laneHasNoServer reports whether no other request in the lane of r finds a server either, after r found none. Other
+// retries may still go to a server that r was already sent to.
+func (b *Balancer) laneHasNoServer(l *lane, r *request) bool {
 	if !l.retries {
 		return true
 	}
--- a/policy/rules_test.go
+++ b/policy/rules_test.go
@@ -178,20 +178,20 @@
 	b.now = 500 * ms
 	for n := range 10 {
 		// One less than the exact limit of 4: the check errs on the strict side.
-		if allowed := b.withinRetryBudget(); allowed != (n < 3) {
+		if allowed := b.withinAttemptBudget(); allowed != (n < 3) {
 			t.Fatalf("after %d extra attempts: another one allowed %v", n, allowed)
 		}
-		if !b.withinRetryBudget() {
+		if !b.withinAttemptBudget() {
 			break
 		}
 		b.recentExtra = append(b.recentExtra, b.now)
 	}
 	b.now = time.Second + 4 // the requests have left the window, the attempts have not
-	if b.withinRetryBudget() {
+	if b.withinAttemptBudget() {
 		t.Error("more than MinExtra is allowed for requests that have left the window")
 	}
 	b.now = 2 * time.Second
-	if !b.withinRetryBudget() || len(b.recentExtra)+len(b.recentRequests) != 0 {
+	if !b.withinAttemptBudget() || len(b.recentExtra)+len(b.recentRequests) != 0 {
 		t.Error("the budget still counts entries that have left the window")
 	}
 }
@@ -362,7 +362,7 @@
 func TestQueuedRequestLowersThePaceOnce(t *testing.T) {
 	b := newTestBalancer(t, testSettings(1), members(1))
 	s := b.packingOrder()[0]
-	s.threshold, s.thresholdCut, s.inflight = 1, true, 3
+	s.threshold, s.thresholdCut, s.inFlight = 1, true, 3
 	b.updateStatus(s)
 	b.Handle(ms, newRequest("x", "free"))
 	before := b.pace
@@ -559,7 +559,7 @@
 	b.recordLoadReport(cold, []float64{0.1, 1}) // too little used to show its capacity
 	cold.cold = coldBudget{lastRefill: b.now}
 	b.Handle(time.Second+500*ms, newRequest("early", "free")) // half a second at 1.4 * 0.24 * 400 / 80 a second
-	if cold.inflight != 0 {
+	if cold.inFlight != 0 {
 		t.Error("the cold server got a request before this node's share allowed one")
 	}
 	if got := sentTo(t, b.Handle(time.Second+700*ms, newRequest("due", "free"))); got != cold.Server {
@@ -607,18 +607,18 @@
 			b.updateThreshold(servers[0], b.classList[0], code, ms)
 		}
 	}
-	initial := b.limit(servers[1])
+	initial := b.scaledThreshold(servers[1])
 	record(OK, 40)
-	if b.limit(servers[1]) <= initial {
+	if b.scaledThreshold(servers[1]) <= initial {
 		t.Error("good answers of one server did not raise the limit of another")
 	}
-	raised := b.limit(servers[1])
+	raised := b.scaledThreshold(servers[1])
 	record(Full, 10)
-	if b.limit(servers[1]) < raised {
+	if b.scaledThreshold(servers[1]) < raised {
 		t.Error("full answers of one server lowered the limit of another: they are harmless, as the request goes elsewhere")
 	}
 	record(TimedOut, 100)
-	if got := b.limit(servers[1]); got != initial {
+	if got := b.scaledThreshold(servers[1]); got != initial {
 		t.Errorf("after many timeouts the limit is %v, want the initial %v", got, initial)
 	}
 }
@@ -637,7 +637,7 @@
 		t.Fatal("after 40 full answers and no timeout the servers don't count as shedding early")
 	}
 	for _, s := range b.packingOrder() {
-		s.inflight = 20
+		s.inFlight = 20
 		b.updateStatus(s)
 	}
 	sentTo(t, b.Handle(ms, newRequest("x", "free")))
@@ -819,7 +819,7 @@
 		if !silent {
 			s.lastAnswer = 50 * ms
 		}
-		acts := b.Handle(240*ms, Timer{Token: watchToken})
+		acts := b.Handle(240*ms, Timer{Token: slowCheckToken})
 		if got := len(actionsOfKind(acts, Send)) == 1; got != silent {
 			t.Errorf("silent %v: second copy sent %v", silent, got)
 		}
@@ -849,8 +849,8 @@
 func TestInitialThresholdIsSharedByFewNodes(t *testing.T) {
 	for nodes := 1; nodes <= maxUnstaggeredNodes; nodes++ {
 		b := newTestBalancer(t, testSettings(nodes), members(4))
-		if total := b.packingOrder()[0].threshold * float64(nodes); math.Abs(total-initialTotal) > 1e-9 {
-			t.Errorf("%d nodes: %v attempts in total, want %v", nodes, total, initialTotal)
+		if total := b.packingOrder()[0].threshold * float64(nodes); math.Abs(total-initialCapacity) > 1e-9 {
+			t.Errorf("%d nodes: %v attempts in total, want %v", nodes, total, initialCapacity)
 		}
 	}
 }
@@ -1003,7 +1003,7 @@
 			r.firstRun = &attempt{}
 		}
 		for range 20 {
-			b.chargeRetry(r)
+			b.chargeExtraAttempt(r)
 		}
 		if got := len(b.recentExtra); got < tc.want-1 || got > tc.want {
 			t.Errorf("%+v: %d attempts charged", tc, got)
@@ -1133,8 +1133,8 @@
 			b.send(b.requests[sent.id], s, false)
 		}
 		b.Handle(255*ms, newOutcome("slow", 0, s.Server, TimedOut, 245*ms))
-		if s.inflight != 2 {
-			t.Fatalf("%s: %d attempts in flight, want 2", tc.name, s.inflight)
+		if s.inFlight != 2 {
+			t.Fatalf("%s: %d attempts in flight, want 2", tc.name, s.inFlight)
 		}
 		tc.event(b, s)
 		if got := b.outstanding(s); got != tc.want {
@@ -1193,7 +1193,7 @@
 		b := newTestBalancer(t, testSettings(1), members(1))
 		s := b.packingOrder()[0]
 		before := s.threshold
-		s.inflight = int(before) // full, so that the threshold limits sends
+		s.inFlight = int(before) // full, so that the threshold limits sends
 		b.updateThreshold(s, b.classes["free"], OK, tc.latency)
 		if grows := s.threshold > before; grows != tc.grows {
 			t.Errorf("an answer after %v: threshold %v, was %v", tc.latency, s.threshold, before)
@@ -1210,7 +1210,7 @@
 		b.updateThreshold(s, b.classes["free"], OK, 240*ms)
 	}
 	for inFlight, want := range map[int]bool{0: true, 1: true, 2: true, 3: false} {
-		s.inflight = inFlight
+		s.inFlight = inFlight
 		if got := b.hasRoom(s); got != want {
 			t.Errorf("with %d attempts in flight: room %v, want %v", inFlight, got, want)
 		}
@@ -1280,7 +1280,7 @@
 		}
 		runTrial := func(code Code) {
 			id := fmt.Sprint(now)
-			b.savedTrials = maxSavedTrials // as if other requests had arrived meanwhile
+			b.trialBudget = maxTrialBudget // as if other requests had arrived meanwhile
 			if got := sentTo(t, b.Handle(now, newRequest(id, "free"))); got != s.Server {
 				t.Fatalf("%v: the trial at %v was sent to %s", tc.code, now, got)
 			}
@@ -1408,7 +1408,7 @@
 		}
 	}
 	const requests = 1000
-	if silentSends := sendRequests(requests, false); float64(silentSends) > maxSavedTrials+trialShare*requests {
+	if silentSends := sendRequests(requests, false); float64(silentSends) > maxTrialBudget+trialFraction*requests {
 		t.Errorf("%d of %d requests went to silent servers", silentSends, requests)
 	}
 	for sent := 0; b.fleet.ejectedCount > 0; sent++ {
--- a/policy/slowstart.go
+++ b/policy/slowstart.go
@@ -9,14 +9,14 @@
 // Slow start: each node's share of a cold server's budget.
 
 const (
-	coldMargin       = 0.7 // of OverloadMultiple less one: the one is a margin for chance, heavy requests and unequal servers
-	minWarmRate      = 1.0 // requests a second, by all nodes, that a warm server is taken to serve at least
-	coldReportMinUse = 0.5 // fraction of its cores in use from which a report shows what a cold server can take now,
-	maxColdUse       = 0.9 // and the fraction of that it gets at most
-	rateGain         = 0.1 // weight of one report in the rate that a kind of server serves
+	coldMargin       = 0.7 // fraction of OverloadMultiple-1 used; the 1 is a margin for chance, heavy requests, unequal servers
+	minWarmRate      = 1.0 // least rate that a warm server is assumed to serve, in requests a second from all nodes
+	coldReportMinUse = 0.5 // fraction of its cores in use from which a cold server's report shows its capacity,
+	maxColdUse       = 0.9 // and the fraction of that capacity it is sent at most
+	rateGain         = 0.1 // weight of one report in warmRates
 )
 
-// rampFraction returns the fraction of its capacity that s has at least; 1 once it is warm.
+// rampFraction returns the fraction of its full capacity that s has at least by now; 1 once it is warm.
 func (b *Balancer) rampFraction(s *server) float64 {
 	age := b.now - s.OnlineSince
 	if s.OnlineSince <= 0 || b.settings.Rules.ColdFor <= 0 || age >= b.settings.Rules.ColdFor {
@@ -27,7 +27,7 @@
 }
 
 // recordLoadReport updates the core use and, for each kind of server, the rate that a warm one serves for all nodes.
-// Of a cold server it records what that can take now.
+// Of a cold server it records the present capacity.
 func (b *Balancer) recordLoadReport(s *server, values []float64) {
 	if b.rampFraction(s) < 1 {
 		utilIndex, qpsIndex := slices.Index(b.settings.Report, "util"), slices.Index(b.settings.Report, "qps")
@@ -96,15 +96,15 @@
 	return min(maxWait, max(time.Millisecond, seconds(min(2*need/slope, maxWait.Seconds()))))
 }
 
-// setProcesses sets how many processes this node has. Each cold server's budget is first brought up to date with the
+// setProcessCount sets how many processes this node has. Each cold server's budget is first brought up to date with the
 // old number.
-func (b *Balancer) setProcesses(n int) {
-	ringServers := slices.Clone(b.rotation)
-	for _, s := range ringServers {
+func (b *Balancer) setProcessCount(n int) {
+	servers := slices.Clone(b.rotation) // includes all cold servers in service
+	for _, s := range servers {
 		b.coldBudgetAllows(s)
 	}
 	b.processCount = n
-	for _, s := range ringServers {
+	for _, s := range servers {
 		if s.cold.rate > 0 {
 			s.cold.rate, _ = b.coldRate(s)
 		}
--- a/policy/state.go
+++ b/policy/state.go
@@ -26,19 +26,19 @@
 	defaultLimit         *Limit   // for tenants without a quota; nil: no limit
 	buckets              map[bucketKey]*bucket
 	evictionRing         bucketRing
-	pace                 float64 // factor of all bucket rates
-	sharedThresholdScale float64 // factor of the thresholds of servers that get most of their work from other nodes
-	fairShareScale       float64 // factor of this node's bound on attempts in flight among many nodes, by late answers
+	pace                 float64 // factor on all bucket rates
+	sharedThresholdScale float64 // factor on the thresholds of servers that get most of their work from other nodes
+	fairShareScale       float64 // factor on this node's share of outstanding attempts (see atFairShare)
 	fullFraction         float64 // recent fraction of full answers among the bad ones
 	badFraction          float64 // recent fraction of bad answers
 	faultWeight          float64 // weight of an error or a reset; below 1 if other servers have them too
-	timeoutFraction      float64 // recent fraction of time-outs among all answers but full ones
-	bucketRefused        bool    // a bucket refused a request since the last choice of a server
+	timeoutFraction      float64 // recent fraction of timeouts among all answers but full ones
+	bucketRefused        bool    // a bucket refused a request since the last adjustPace
 	processCount         int     // number of processes of this node
-	savedTrials          float64 // trials of ejected servers that may still fail
+	trialBudget          float64 // number of trials of ejected servers that may still fail; each request adds trialFraction
 	servers              map[string]*server
 	requests             map[string]*request
-	queue                requestQueue  // requests that wait for a usable server
+	queue                requestQueue  // requests that wait for a server
 	queueTimerSet        bool          // the timer of the queue is set
 	attemptBudget        AttemptBudget // for attempts beyond the first of each request
 	uncountedExtra       float64       // fraction of an extra attempt that is not in recentExtra yet
@@ -50,7 +50,7 @@
 	coreUse              float64                 // recent fraction of the servers' cores in use, from load reports
 	unclaimedMemory      map[string]ServerMemory // from the previous process, for servers that are not listed yet
 	isSuccessor          bool                    // this process took over from one that was alive at its start
-	unansweredByIdle     [6]float64              // fraction of unanswered sends, by the connection's idle time in octaves
+	lossByIdleTime       [6]float64              // fraction of lost sends, by idleOctave
 	maxDeadline          time.Duration           // longest deadline of any class
 	recentlyUsed         list.List               // every *server that was ever sent an attempt, most recently used first
 	serverIndex
@@ -59,12 +59,12 @@
 // class is a request class with its learned state.
 type class struct {
 	Class
-	eligible         *pool // servers that it may be sent to
-	index            int
-	lastFirstTryWait time.Duration // how long the client of the last first try would wait
-	tailLatency      time.Duration // estimate of a high latency quantile
-	watched          []slowCheck   // attempts to check when they are slow, oldest first
-	watchTimerSet    bool          // the timer for the first of watched is set
+	eligible          *pool // servers that it may be sent to
+	index             int
+	lastFirstTryWait  time.Duration // how long the client of the last first try would wait
+	tailLatency       time.Duration // estimate of a high latency quantile
+	slowChecks        []slowCheck   // checks of attempts for slowness, oldest first
+	slowCheckTimerSet bool          // the timer for the first of slowChecks is set
 }
 
 // server is a listed server as this node sees it.
@@ -72,7 +72,7 @@
 	Member
 	indexEntry
 	hash             uint64
-	inflight         int                // this node's open attempts
+	inFlight         int                // this node's attempts in flight
 	abandoned        []abandonedAttempt // attempts given up that the server may still work on
 	threshold        float64            // packing threshold, in attempts in flight
 	inOwnZone        bool               // in this node's zone, as of when it last entered service
@@ -82,7 +82,7 @@
 	lastSend         Time
 	coldCapacity     float64 // requests per second that it can take while cold, from its last load report; 0 if unknown
 	lastAnswer       Time    // when it last gave any answer
-	busySince        Time    // since when it has had open attempts all the time
+	busySince        Time    // since when it has always had attempts in flight
 	meanLatency      float64 // mean, in seconds
 	faultRate        float64 // recent fraction of errors and resets among its outcomes
 	health           health
@@ -91,19 +91,19 @@
 
 // request is a client request, kept until it is answered and its attempts have ended.
 type request struct {
-	id           string
-	class        *class
-	deadline     Time
-	usefulUntil  Time   // answers after this have no worth
-	refuseAt     Time   // when it is refused if it still waits
-	keyHash      uint64 // hash of the request's key; 0 for none
-	attempts     []attempt
-	openAttempts int
-	firstRun     *attempt // the first attempt that may have run
-	ended        bool     // the final answer is given
-	streaming    bool     // the answer has begun
-	wasQueued    bool     // it waited for a server at least once
-	queueEntry   queueEntry
+	id          string
+	class       *class
+	deadline    Time
+	usefulUntil Time   // answers after this have no worth
+	refuseAt    Time   // when it is refused if it is still queued
+	keyHash     uint64 // hash of the request's key; 0 for none
+	attempts    []attempt
+	inFlight    int
+	firstRun    *attempt // the first attempt that may have run
+	ended       bool     // the final answer is given
+	streaming   bool     // the answer has begun
+	wasQueued   bool     // it was queued at least once
+	queueEntry  queueEntry
 }
 
 // abandonedAttempt is an attempt that was given up and that the server may work on until the given time.
@@ -118,7 +118,7 @@
 	idleOctave int // octave of the connection's idle time; 0 for one in use
 }
 
-// watch is an attempt to check when it has been open for long.
+// slowCheck is a check, due at the given time, whether an attempt is still in flight.
 type slowCheck struct {
 	req     *request
 	attempt int
@@ -176,9 +176,9 @@
 )
 
 // String returns the state behind the decisions in one line for the log: the bucket pace, the rates that
-// failures are weighed by, and for each server in service its open attempts, threshold and breaker. Of many
-// servers it names only those that have open attempts, answered recently or are ejected, and it counts the
-// others.
+// failures are weighed by, and for each server in service its attempts in flight, scaled threshold and breaker.
+// Of many servers it names only those that have attempts in flight, answered recently or are ejected, and it
+// counts the others.
 func (b *Balancer) String() string {
 	var t strings.Builder
 	fmt.Fprintf(&t, "pace=%.2f bad=%.2f full=%.2f lost=%.2f blame=%.2f held=%d extra=%d", b.pace, b.badFraction,
@@ -186,7 +186,7 @@
 	listed, otherBusy := b.loggedServers()
 	ejected := b.fleet.ejectedCount
 	for _, s := range listed {
-		fmt.Fprintf(&t, " %s=%d/%.1f", s.Server, s.inflight, b.limit(s))
+		fmt.Fprintf(&t, " %s=%d/%.1f", s.Server, s.inFlight, b.scaledThreshold(s))
 		if s.health.ejected {
 			t.WriteString("/out")
 			ejected--
@@ -208,9 +208,9 @@
 		s := e.Value.(*server)
 		recent := b.now-max(s.lastSend, s.lastAnswer) <= recentlyUsedFor
 		switch {
-		case !recent && b.now-s.lastSend > b.maxDeadline: // so are all that follow, and they have no open attempts
+		case !recent && b.now-s.lastSend > b.maxDeadline: // so are all that follow, and they have no attempts in flight
 			return b.withEjected(listed), otherBusy
-		case !s.inService || s.health.ejected || s.inflight == 0 && (s.lastAnswer == 0 || b.now-s.lastAnswer > recentlyUsedFor):
+		case !s.inService || s.health.ejected || s.inFlight == 0 && (s.lastAnswer == 0 || b.now-s.lastAnswer > recentlyUsedFor):
 		case len(listed) < maxLoggedServers:
 			listed = append(listed, s)
 		default:
@@ -257,8 +257,8 @@
 // Memory is the state that one process of a node hands over to the next, which continues as the same node. It
 // has ages in place of times, since the processes' clocks differ. The zero Memory is empty.
 type Memory struct {
-	Pace, Busy float64
-	Rates      map[string]float64
+	Pace, Busy float64            // the pace, and the fraction of the servers' cores in use
+	Rates      map[string]float64 // requests per second that warm servers of each kind serve
 	Buckets    []BucketMemory
 	Servers    []ServerMemory
 }
@@ -275,8 +275,8 @@
 	Server           string
 	Up               time.Duration // since its start; 0: long ago
 	Threshold        float64
-	Felt             bool
-	Latency, Faults  float64
+	Felt             bool    // the threshold was lowered at least once
+	Latency, Faults  float64 // mean latency in seconds, and fault rate
 	Takes, ColdLevel float64 // of a cold server: its capacity, and the level of its budget
 	// The breaker: its score and, if the server is ejected, the reason, the time that is left, and the number
 	// of consecutive ejections.
@@ -328,10 +328,10 @@
 		}
 	}
 	for _, s := range m.Servers {
-		s.Out = s.Out && float64(ejected) <= maxEjectedFraction*float64(len(m.Servers)) // no process ejects more by itself
+		s.Out = s.Out && float64(ejected) <= maxEjectedFraction*float64(len(m.Servers)) // a process itself ejects no more
 		s.Rest -= max(0, age)
 		if s.Up > 0 {
-			s.Up = now - s.Up - max(0, age)
+			s.Up = now - s.Up - max(0, age) // in unclaimedMemory: the time of the start
 		}
 		b.unclaimedMemory[s.Server] = s
 	}
--- a/policy/state_test.go
+++ b/policy/state_test.go
@@ -104,7 +104,7 @@
 			t.Errorf("pace %v, threshold %v, cold capacity %v, warm rates %v, want the initial state", b.pace, s.threshold, s.coldCapacity, b.warmRates)
 		}
 		b.Handle(time.Hour+time.Second, Request{ID: "r", Class: "free", Tenant: "t", ExpiresIn: time.Second})
-		if b.servers["s00"].inflight != 1 {
+		if b.servers["s00"].inFlight != 1 {
 			t.Error("a request was not sent")
 		}
 	}
@@ -142,7 +142,7 @@
 	if got := b.String(); !strings.HasSuffix(got, " extra=0 left_out=39000 idle=39000 out=0") {
 		t.Errorf("with an idle fleet: %s", got)
 	}
-	b.packingOrder()[10000].inflight, b.packingOrder()[10000].lastSend = 2, b.now
+	b.packingOrder()[10000].inFlight, b.packingOrder()[10000].lastSend = 2, b.now
 	b.setEjected(b.packingOrder()[20000], true)
 	b.packingOrder()[30000].lastAnswer = b.now - recentlyUsedFor
 	b.packingOrder()[30001].lastAnswer = b.now - recentlyUsedFor - 1
--- a/policy/status.go
+++ b/policy/status.go
@@ -5,13 +5,13 @@
 )
 
 // Server status, from which the indexes find the servers that can take a request. It follows from the
-// server's own state and the time: updateStatus must be called after every change of the attempts that a
-// server holds, of its health, of its threshold and of whether it is in service.
+// server's own state and the time: updateStatus must be called after every change of a server's
+// outstanding attempts, of its health, of its threshold and of whether it is in service.
 
 const (
 	farFuture = Time(math.MaxInt64)
-	// rotationPerEvent is how many servers of the rotation each event re-evaluates. The times of their changes
-	// depend on figures that outcomes of other servers move, and are corrected in turn.
+	// rotationPerEvent is how many servers of the rotation each event reevaluates. The outcomes of other servers
+	// move the times at which their statuses change, so these times are recomputed in turn.
 	rotationPerEvent = 2
 	// maxReevaluationsPerEvent bounds the due status changes that each event applies: slow starts of a whole zone may
 	// end at the same moment. The other servers keep their status until the next events.
@@ -20,14 +20,14 @@
 
 // status is the state of a server as indexed.
 type status struct {
-	keys         treeKeys
-	cold         bool    // in slow start
-	ejected      bool    // ejected by its circuit breaker
-	trialAt      float64 // time from which an ejected server may be tried; absent: not for now
-	warmInFlight int     // its part of serverIndex.warmInFlight
-	warmServers  int     // its part of serverIndex.warmServers
-	reevaluateAt Time    // when the status changes without an event
-	inRotation   bool    // it may change earlier, by figures of other servers
+	keys            treeKeys
+	cold            bool    // in slow start
+	ejected         bool    // ejected by its circuit breaker
+	trialAt         float64 // time from which an ejected server may be tried; absent: not for now
+	warmOutstanding int     // its part of serverIndex.warmOutstanding
+	warmServers     int     // its part of serverIndex.warmServers
+	reevaluateAt    Time    // when the status changes without an event
+	inRotation      bool    // it may change earlier, by outcomes of other servers
 }
 
 // outOfService is the status of a server that is not in service.
@@ -39,9 +39,9 @@
 	if !s.inService {
 		return st
 	}
-	holds := b.outstanding(s)
-	for _, late := range s.abandoned {
-		st.reevaluateAt = min(st.reevaluateAt, late.until)
+	outstanding := b.outstanding(s)
+	for _, a := range s.abandoned {
+		st.reevaluateAt = min(st.reevaluateAt, a.until)
 	}
 	admits := true
 	if st.cold = b.rampFraction(s) < 1; st.cold {
@@ -60,29 +60,29 @@
 		return st
 	}
 	if !st.cold {
-		st.warmInFlight, st.warmServers = holds, 1
+		st.warmOutstanding, st.warmServers = outstanding, 1
 	}
 	if admits && s.threshold > 0 {
-		b.fillKeys(s, holds, &st)
+		b.fillKeys(s, outstanding, &st)
 	}
 	return st
 }
 
 // fillKeys computes the tree keys of a server that may be used.
-func (b *Balancer) fillKeys(s *server, holds int, st *status) {
-	if s.inflight > 0 {
+func (b *Balancer) fillKeys(s *server, outstanding int, st *status) {
+	if s.inFlight > 0 {
 		at := b.hungAt(s)
 		if b.now > at {
 			return
 		}
 		st.reevaluateAt = min(st.reevaluateAt, at+1)
 	}
-	st.keys[loadKey] = float64(holds+1) / s.threshold
-	if at := b.nextSendAt(s); holds == 0 && b.now < at {
+	st.keys[loadKey] = float64(outstanding+1) / s.threshold
+	if at := b.nextSendAt(s); outstanding == 0 && b.now < at {
 		st.reevaluateAt, st.inRotation = min(st.reevaluateAt, at), st.inRotation || b.serversShared()
 		return
 	}
-	st.keys[roomKey] = float64(holds) / s.threshold
+	st.keys[roomKey] = float64(outstanding) / s.threshold
 }
 
 // updateStatus recomputes the status of s and updates the indexes.
@@ -93,7 +93,7 @@
 		return
 	}
 	s.status = now
-	b.warmInFlight += now.warmInFlight - was.warmInFlight
+	b.warmOutstanding += now.warmOutstanding - was.warmOutstanding
 	b.warmServers += now.warmServers - was.warmServers
 	if was.reevaluateAt != now.reevaluateAt {
 		b.reevaluationHeap.set(s, now.reevaluateAt < farFuture)
@@ -109,9 +109,9 @@
 	}
 }
 
-// updateDueStatuses applies the status changes that are due, and re-evaluates some servers of the rotation.
+// updateDueStatuses applies the status changes that are due, and reevaluates some servers of the rotation.
 func (b *Balancer) updateDueStatuses() {
-	for looked := 0; looked < maxReevaluationsPerEvent && len(b.reevaluationHeap.servers) > 0 && b.reevaluationHeap.servers[0].status.reevaluateAt <= b.now; looked++ {
+	for updated := 0; updated < maxReevaluationsPerEvent && len(b.reevaluationHeap.servers) > 0 && b.reevaluationHeap.servers[0].status.reevaluateAt <= b.now; updated++ {
 		b.updateStatus(b.reevaluationHeap.servers[0])
 	}
 	for range min(rotationPerEvent, len(b.rotation)) {
@@ -135,5 +135,5 @@
 	b.rotation, s.rotationPosition = b.rotation[:len(b.rotation)-1], 0
 }
 
-// warmLoad returns the attempts held by warm servers that are not ejected, and the number of these servers.
-func (b *Balancer) warmLoad() (inFlight, servers int) { return b.warmInFlight, b.warmServers }
+// warmLoad returns the outstanding attempts of warm servers that are not ejected, and the number of these servers.
+func (b *Balancer) warmLoad() (outstanding, servers int) { return b.warmOutstanding, b.warmServers }
