--- a/cmd/wayhold/log_test.go
+++ b/cmd/wayhold/log_test.go
@@ -15,8 +15,8 @@
 	"settings":{"position":0,"groupSize":1,"zone":"a","services":[{"name":"x","aim":20000,"deadline":30000,"repeat":"free"}],
 		"limits":{"connectTimeout":5000,"maxAttempts":1,"retryAfter":true}}}`
 
-// requestRefused sends a request to a node with refusedServerConfig and returns the response's status.
-func requestRefused(p *process, id string) int {
+// sendRequest sends a request to a node with refusedServerConfig and returns the response's status.
+func sendRequest(p *process, id string) int {
 	return getStatus("http://"+p.addr+"/api", "X-Request-Id", id, "X-Class", "x", "X-Deadline-Ms", "30000")
 }
 
@@ -25,7 +25,7 @@
 	p, log := startWithLog(t, refusedServerConfig, 256)
 	log.Close()
 	for i := range 20 {
-		if got := requestRefused(p, fmt.Sprint("r", i)); got != http.StatusServiceUnavailable && got != http.StatusTooManyRequests {
+		if got := sendRequest(p, fmt.Sprint("r", i)); got != http.StatusServiceUnavailable && got != http.StatusTooManyRequests {
 			t.Fatalf("request %d: status %d, want 503 or 429", i, got)
 		}
 	}
@@ -43,7 +43,7 @@
 	p, log := startWithLog(t, refusedServerConfig, 256)
 	shrinkPipe(t, log)
 	for i := range 100 {
-		if got := requestRefused(p, fmt.Sprint("r", i)); got != http.StatusServiceUnavailable && got != http.StatusTooManyRequests {
+		if got := sendRequest(p, fmt.Sprint("r", i)); got != http.StatusServiceUnavailable && got != http.StatusTooManyRequests {
 			t.Fatalf("request %d: status %d, want 503 or 429", i, got)
 		}
 	}
--- a/cmd/wayhold/process_test.go
+++ b/cmd/wayhold/process_test.go
@@ -116,9 +116,9 @@
 	}
 }
 
-// Four times as many idle clients and clients with incomplete requests connect as the process may have descriptors,
-// while discovery is down. The operator address, the client-facing address and requests must stay served, and the list
-// must be fetched once discovery is back.
+// While discovery is down, four times as many clients connect as the process may have descriptors; half of them send
+// nothing, the others an incomplete request. The operator address, the client-facing address and requests must still be
+// answered, and the list must be fetched once discovery is back.
 func TestIdleClientsDoNotExhaustDescriptors(t *testing.T) {
 	for _, mode := range []string{"subscribe", "automatic"} {
 		t.Run(mode, func(t *testing.T) {
--- a/cmd/wayhold/scale_test.go
+++ b/cmd/wayhold/scale_test.go
@@ -83,7 +83,7 @@
 	return strings.Join(all, ",\n        ")
 }
 
-// fakeDiscovery is a discovery server whose list the test sets. Calls block until the list is newer than their index.
+// fakeDiscovery is a discovery server whose list the test sets. A call blocks until the list is newer than its index.
 type fakeDiscovery struct {
 	mu       sync.Mutex
 	revision int
@@ -92,22 +92,22 @@
 	calls    chan int // the index parameter of each call
 }
 
-func (r *fakeDiscovery) setList(complete bool, entries string) {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	r.revision++
-	r.list = fmt.Sprintf("{\n  \"revision\": %d,\n  \"complete\": %v,\n  \"members\": [%s]\n}\n", r.revision, complete, entries)
-	close(r.changed)
-	r.changed = make(chan struct{})
+func (fake *fakeDiscovery) setList(complete bool, entries string) {
+	fake.mu.Lock()
+	defer fake.mu.Unlock()
+	fake.revision++
+	fake.list = fmt.Sprintf("{\n  \"revision\": %d,\n  \"complete\": %v,\n  \"members\": [%s]\n}\n", fake.revision, complete, entries)
+	close(fake.changed)
+	fake.changed = make(chan struct{})
 }
 
-func (r *fakeDiscovery) ServeHTTP(w http.ResponseWriter, req *http.Request) {
+func (fake *fakeDiscovery) ServeHTTP(w http.ResponseWriter, req *http.Request) {
 	index, _ := strconv.Atoi(req.URL.Query().Get("index"))
-	r.calls <- index
+	fake.calls <- index
 	for {
-		r.mu.Lock()
-		revision, list, changed := r.revision, r.list, r.changed
-		r.mu.Unlock()
+		fake.mu.Lock()
+		revision, list, changed := fake.revision, fake.list, fake.changed
+		fake.mu.Unlock()
 		if revision > index {
 			_, _ = io.WriteString(w, list)
 			return
@@ -121,9 +121,9 @@
 }
 
 // awaitApplied waits until the node asks for updates to the latest list, which shows that it has applied that list.
-func (r *fakeDiscovery) awaitApplied(t *testing.T) {
+func (fake *fakeDiscovery) awaitApplied(t *testing.T) {
 	t.Helper()
-	for r.revision != receive(t, "the next discovery call", r.calls) {
+	for fake.revision != receive(t, "the next discovery call", fake.calls) {
 	}
 }
 
@@ -131,8 +131,8 @@
 // with them, serves requests, and follows list changes, including drains, of a quarter of the servers and of all.
 func TestManyServersAndNodesInMinimumMemory(t *testing.T) {
 	servers := newBackends(t)
-	reg := &fakeDiscovery{revision: 1, changed: make(chan struct{}), calls: make(chan int, 1000)}
-	discovery := httptest.NewServer(reg)
+	fake := &fakeDiscovery{revision: 1, changed: make(chan struct{}), calls: make(chan int, 1000)}
+	discovery := httptest.NewServer(fake)
 	defer discovery.Close()
 	defer discovery.CloseClientConnections()
 	var known any
@@ -214,20 +214,20 @@
 	}
 	for get("/health/ready", "0") != 200 {
 	}
-	reg.awaitApplied(t)
+	fake.awaitApplied(t)
 	sendRound("start")
 
 	quarter := memberCount / 4
-	reg.setList(false, servers.memberEntries(0, quarter, "draining"))
-	reg.awaitApplied(t)
+	fake.setList(false, servers.memberEntries(0, quarter, "draining"))
+	fake.awaitApplied(t)
 	sendRound("drain")
 	for i := range quarter {
 		if n := servers.requestCounts[servers.addrs[i]]; n > 0 {
 			t.Errorf("draining server %d got %d requests", i, n)
 		}
 	}
-	reg.setList(true, servers.memberEntries(memberCount/2, memberCount, "up"))
-	reg.awaitApplied(t)
+	fake.setList(true, servers.memberEntries(memberCount/2, memberCount, "up"))
+	fake.awaitApplied(t)
 	sendRound("removal")
 	for i := range memberCount / 2 {
 		if n := servers.requestCounts[servers.addrs[i]]; n > 0 {
@@ -235,13 +235,13 @@
 		}
 	}
 	for range 20 {
-		reg.setList(true, servers.memberEntries(0, memberCount, "up"))
-		reg.awaitApplied(t)
-		reg.setList(false, servers.memberEntries(0, memberCount, "removed"))
-		reg.awaitApplied(t)
+		fake.setList(true, servers.memberEntries(0, memberCount, "up"))
+		fake.awaitApplied(t)
+		fake.setList(false, servers.memberEntries(0, memberCount, "removed"))
+		fake.awaitApplied(t)
 	}
-	reg.setList(true, servers.memberEntries(0, memberCount, "up"))
-	reg.awaitApplied(t)
+	fake.setList(true, servers.memberEntries(0, memberCount, "up"))
+	fake.awaitApplied(t)
 	sendRound("return")
 	if len(servers.requestCounts) < 2 {
 		t.Errorf("only %d servers received requests", len(servers.requestCounts))
--- a/internal/discovery/discovery_test.go
+++ b/internal/discovery/discovery_test.go
@@ -19,21 +19,21 @@
 	"cobaltward/policy"
 )
 
-func entry(id, phase string) string {
+func memberJSON(id, phase string) string {
 	return fmt.Sprintf(`{"id":%q,"host_port":"127.0.0.1:9","phase":%q,"up_since_ms":0}`, id, phase)
 }
 
-func delta(revision int, entries ...string) string {
+func deltaJSON(revision int, entries ...string) string {
 	return fmt.Sprintf(`{"revision":%d,"complete":false,"members":[%s]}`, revision, strings.Join(entries, ","))
 }
 
-func httpServer(t *testing.T, h http.HandlerFunc) string {
+func startHTTPServer(t *testing.T, h http.HandlerFunc) string {
 	s := httptest.NewServer(h)
 	t.Cleanup(s.Close)
 	return s.Listener.Addr().String()
 }
 
-// receive fails the test after a timeout that is longer than any step takes.
+// receive returns the next value from a channel, and fails the test after a timeout that is longer than any step takes.
 func receive[T any](t *testing.T, what string, from <-chan T) T {
 	t.Helper()
 	select {
@@ -46,16 +46,16 @@
 }
 
 // startClient runs a client against a server that gives the answers in turn and then leaves calls open. It returns the
-// client, its news and the revisions that it asked for. An answer that isn't a JSON object is sent with status 503.
-func startClient(t *testing.T, subscribe bool, answers ...string) (d *Client, news chan Update, queries chan string) {
+// client, its updates and the index parameter of each call. An answer that isn't a JSON object is sent with status 503.
+func startClient(t *testing.T, subscribe bool, answers ...string) (d *Client, updates chan Update, indexes chan string) {
 	t.Helper()
-	queries, news = make(chan string, 100), make(chan Update, 100)
+	indexes, updates = make(chan string, 100), make(chan Update, 100)
 	calls := make(chan string, len(answers))
 	for _, a := range answers {
 		calls <- a
 	}
-	addr := httpServer(t, func(w http.ResponseWriter, r *http.Request) {
-		queries <- r.URL.Query().Get("index")
+	addr := startHTTPServer(t, func(w http.ResponseWriter, r *http.Request) {
+		indexes <- r.URL.Query().Get("index")
 		select {
 		case a := <-calls:
 			if !strings.HasPrefix(a, "{") {
@@ -66,62 +66,62 @@
 			<-r.Context().Done()
 		}
 	})
-	d = New(Config{Addr: addr, Subscribe: subscribe, Revision: 7, Nodes: 1, Seed: 1}, func(n Update) { news <- n })
+	d = New(Config{Addr: addr, Subscribe: subscribe, Revision: 7, Nodes: 1, Seed: 1}, func(u Update) { updates <- u })
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan struct{})
 	go func() { d.Run(ctx); close(done) }()
 	t.Cleanup(func() { cancel(); receive(t, "Run to return", done) })
-	return d, news, queries
+	return d, updates, indexes
 }
 
-func expectIndexes(t *testing.T, queries chan string, want ...string) {
+func expectIndexes(t *testing.T, indexes chan string, want ...string) {
 	t.Helper()
 	for i, w := range want {
-		if got := receive(t, "a call", queries); got != w {
+		if got := receive(t, "a call", indexes); got != w {
 			t.Errorf("call %d: got index %s, want %s", i, got, w)
 		}
 	}
 }
 
 func TestDeltasComeInOrder(t *testing.T) {
-	_, news, queries := startClient(t, false, delta(8, entry("s1", "up")), delta(9), delta(10, entry("s1", "draining")),
-		`{"revision":11,"complete":true,"members":[`+entry("s2", "up")+`]}`)
+	_, updates, indexes := startClient(t, false, deltaJSON(8, memberJSON("s1", "up")), deltaJSON(9), deltaJSON(10, memberJSON("s1", "draining")),
+		`{"revision":11,"complete":true,"members":[`+memberJSON("s2", "up")+`]}`)
 	for i, want := range []struct {
 		kind   policy.ListKind
 		server string
 		phase  policy.Availability
 	}{{policy.ListUpdate, "s1", policy.Running}, {policy.ListUpdate, "s1", policy.Draining},
 		{policy.ListReplace, "s2", policy.Running}} {
-		n := receive(t, "news", news)
-		if n.Kind != want.kind || len(n.Members) != 1 || n.Members[0].Server != want.server ||
-			n.Members[0].Availability != want.phase {
-			t.Errorf("news %d: %+v", i, n)
+		u := receive(t, "an update", updates)
+		if u.Kind != want.kind || len(u.Members) != 1 || u.Members[0].Server != want.server ||
+			u.Members[0].Availability != want.phase {
+			t.Errorf("update %d: %+v", i, u)
 		}
 	}
-	expectIndexes(t, queries, "7", "8", "9", "10", "11")
+	expectIndexes(t, indexes, "7", "8", "9", "10", "11")
 }
 
-// Where a pushed list can't be fetched or parsed, the last one stays in force and no news is delivered.
+// If a pushed list can't be fetched or parsed, the last one stays in force and no update is delivered.
 func TestFailuresKeepTheLastList(t *testing.T) {
-	_, news, queries := startClient(t, false, "down", `{"revision":`, delta(9, entry("s1", "odd")), `{"members":[]}`,
-		delta(8, entry("s1", "up")))
-	if n := receive(t, "news", news); n.Kind != policy.ListUpdate || n.Members[0].Server != "s1" {
-		t.Errorf("news %+v", n)
+	_, updates, indexes := startClient(t, false, "down", `{"revision":`, deltaJSON(9, memberJSON("s1", "odd")), `{"members":[]}`,
+		deltaJSON(8, memberJSON("s1", "up")))
+	if u := receive(t, "an update", updates); u.Kind != policy.ListUpdate || u.Members[0].Server != "s1" {
+		t.Errorf("update %+v", u)
 	}
-	expectIndexes(t, queries, "7", "7", "7", "7", "7", "8")
-	if len(news) != 0 {
-		t.Errorf("unexpected news %+v", <-news)
+	expectIndexes(t, indexes, "7", "7", "7", "7", "7", "8")
+	if len(updates) != 0 {
+		t.Errorf("unexpected update %+v", <-updates)
 	}
 }
 
-// The agent of a pushed list may hold a drain as soon as it is reachable again. A pause beyond the grace of drains would
-// let the node go on sending to that server.
+// The agent of a pushed list may have a drain to report as soon as it is reachable again. With a backoff longer than the
+// grace of drains, the node would go on sending to that server.
 func TestBackoffStaysWithinDrainGrace(t *testing.T) {
 	last := time.Duration(0)
 	for i := range 20 {
 		next := nextBackoff(last)
 		if next < last || next <= 0 || next > 200*time.Millisecond {
-			t.Fatalf("pause %d: %v after %v", i, next, last)
+			t.Fatalf("backoff %d: %v after %v", i, next, last)
 		}
 		last = next
 	}
@@ -129,14 +129,14 @@
 
 func TestMalformedListsNameTheField(t *testing.T) {
 	for raw, want := range map[string]string{
-		`[]`:                      "array",
-		`{"members":[]}`:          "revision: missing",
-		`{"revision":"x"}`:        "revision",
-		delta(1, entry("", "up")): "members[0].id",
-		delta(1, entry("a", "x")): "members[0].phase",
-		delta(1, `{"id":"a","phase":"up","host_port":"nowhere"}`):                        "members[0].host_port",
-		delta(1, `{"id":"a","phase":"up","host_port":"127.0.0.1:9","up_since_ms":-1}`):   "members[0].up_since_ms",
-		delta(1, `{"id":"a","phase":"up","host_port":"127.0.0.1:9","up_since_ms":1e99}`): "members[0].up_since_ms",
+		`[]`:                               "array",
+		`{"members":[]}`:                   "revision: missing",
+		`{"revision":"x"}`:                 "revision",
+		deltaJSON(1, memberJSON("", "up")): "members[0].id",
+		deltaJSON(1, memberJSON("a", "x")): "members[0].phase",
+		deltaJSON(1, `{"id":"a","phase":"up","host_port":"nowhere"}`):                        "members[0].host_port",
+		deltaJSON(1, `{"id":"a","phase":"up","host_port":"127.0.0.1:9","up_since_ms":-1}`):   "members[0].up_since_ms",
+		deltaJSON(1, `{"id":"a","phase":"up","host_port":"127.0.0.1:9","up_since_ms":1e99}`): "members[0].up_since_ms",
 	} {
 		if _, err := ParseList([]byte(raw)); err == nil || !strings.Contains(err.Error(), want) {
 			t.Errorf("%s: got %v, want an error containing %q", raw, err, want)
@@ -173,15 +173,15 @@
 		t.Fatalf("a list of %d bytes is too short for this test", len(raw))
 	}
 	for _, c := range []struct {
-		most int64
-		want string // of the error
+		maxSize int64
+		want    string // of the error
 	}{{int64(len(raw)), ""}, {int64(len(raw) - 1), "the list is over"}, {0, "the list is over"}} {
-		addr := httpServer(t, func(w http.ResponseWriter, _ *http.Request) { _, _ = io.WriteString(w, raw) })
-		d := New(Config{Addr: addr, Nodes: 1, MaxListSize: c.most}, func(Update) {})
+		addr := startHTTPServer(t, func(w http.ResponseWriter, _ *http.Request) { _, _ = io.WriteString(w, raw) })
+		d := New(Config{Addr: addr, Nodes: 1, MaxListSize: c.maxSize}, func(Update) {})
 		l, err := d.fetchList(t.Context(), &listCall{timeout: time.Hour, bodyTimeout: time.Hour})
 		if c.want != "" {
 			if err == nil || !strings.Contains(err.Error(), c.want) {
-				t.Errorf("at most %d bytes: got %v, want %q", c.most, err, c.want)
+				t.Errorf("at most %d bytes: got %v, want %q", c.maxSize, err, c.want)
 			}
 		} else if err != nil || len(l.Members) != servers || l.Revision != 9 || !l.Complete {
 			t.Errorf("%d entries, revision %d, complete %v, %v", len(l.Members), l.Revision, l.Complete, err)
@@ -209,7 +209,7 @@
 
 // A list that is truncated, or followed by more data, is rejected: what is missing might be a drain.
 func TestTruncatedListsAreRejected(t *testing.T) {
-	good := `{"revision":3,"note":{"a":[1,"}"]},"complete":true,"members":[` + entry("a", "up") + `, ` + entry("b", "removed") + `]}`
+	good := `{"revision":3,"note":{"a":[1,"}"]},"complete":true,"members":[` + memberJSON("a", "up") + `, ` + memberJSON("b", "removed") + `]}`
 	if l, err := ParseList([]byte(good + " \n")); err != nil || len(l.Members) != 2 {
 		t.Fatalf("%+v, %v", l, err)
 	}
@@ -219,19 +219,19 @@
 		}
 	}
 	for _, raw := range []string{good + "x", good + "{}", good + "]", good + "null", "null", `""`, `{"revision":3,}`,
-		`{"revision":3,"members":[` + entry("a", "up") + `,]}`, `{"revision":3,"members":[` + entry("a", "up") + `}`,
+		`{"revision":3,"members":[` + memberJSON("a", "up") + `,]}`, `{"revision":3,"members":[` + memberJSON("a", "up") + `}`,
 		`{"revision":3,"members":{}}`, `{"revision":3 "members":[]}`, `{"revision":3,"members":[[]]}`} {
 		if l, err := ParseList([]byte(raw)); err == nil || strings.Contains(err.Error(), "\n") {
 			t.Errorf("%s: got %+v, %v, want a one-line error", raw, l, err)
 		}
 	}
 	for raw, want := range map[string]string{
-		`{"revision":1,"members":[{"id":7}]}`:                            "members[0].id: want string, got number",
-		`{"revision":1,"members":[` + entry("a", "up") + `,"b"]}`:        "members[1]: want object, got string",
-		`{"revision":1,"members":7}`:                                     "members: want array, got number",
-		`{"revision":1,"members":[` + entry("a", "up") + `,{"id":"b"`:    "members[1]: unexpected EOF",
-		`{"revision":1,"complete":"yes"}`:                                "complete: want bool, got string",
-		delta(1, entry("a", "up"), `{"id":"b","phase":"up","cell":"x"}`): "members[1].cell",
+		`{"revision":1,"members":[{"id":7}]}`:                                     "members[0].id: want string, got number",
+		`{"revision":1,"members":[` + memberJSON("a", "up") + `,"b"]}`:            "members[1]: want object, got string",
+		`{"revision":1,"members":7}`:                                              "members: want array, got number",
+		`{"revision":1,"members":[` + memberJSON("a", "up") + `,{"id":"b"`:        "members[1]: unexpected EOF",
+		`{"revision":1,"complete":"yes"}`:                                         "complete: want bool, got string",
+		deltaJSON(1, memberJSON("a", "up"), `{"id":"b","phase":"up","cell":"x"}`): "members[1].cell",
 	} {
 		if _, err := ParseList([]byte(raw)); err == nil || !strings.Contains(err.Error(), want) {
 			t.Errorf("%s: got %v, want an error containing %q", raw, err, want)
@@ -262,7 +262,7 @@
 	})
 }
 
-func BenchmarkWholeList(b *testing.B) {
+func BenchmarkFullList(b *testing.B) {
 	raw := fullListJSON(39000)
 	b.ReportAllocs()
 	b.SetBytes(int64(len(raw)))
@@ -278,28 +278,28 @@
 func TestMoveFetchesFullListFromNewAddress(t *testing.T) {
 	for _, subscribe := range []bool{false, true} {
 		closed := make(chan struct{}, 10)
-		silent := httpServer(t, func(_ http.ResponseWriter, r *http.Request) {
+		silent := startHTTPServer(t, func(_ http.ResponseWriter, r *http.Request) {
 			<-r.Context().Done()
 			closed <- struct{}{}
 		})
 		queries := make(chan string, 10)
-		next := httpServer(t, func(w http.ResponseWriter, r *http.Request) {
+		next := startHTTPServer(t, func(w http.ResponseWriter, r *http.Request) {
 			queries <- r.URL.RawQuery
 			if r.URL.Query().Has("index") {
 				<-r.Context().Done()
 				return
 			}
-			_, _ = io.WriteString(w, `{"revision":2,"complete":true,"members":[`+entry("s9", "up")+`]}`)
+			_, _ = io.WriteString(w, `{"revision":2,"complete":true,"members":[`+memberJSON("s9", "up")+`]}`)
 		})
-		d, news, first := startClient(t, subscribe)
+		d, updates, oldIndexes := startClient(t, subscribe)
 		if subscribe {
 			d.RequestUpdates(true)
 		}
-		receive(t, "the call at the old address", first)
+		receive(t, "the call at the old address", oldIndexes)
 		d.Move(silent)
 		d.Move(next)
-		if n := receive(t, "the list of the new address", news); n.Kind != policy.ListReplace || n.Members[0].Server != "s9" {
-			t.Errorf("subscribe %v: news %+v", subscribe, n)
+		if u := receive(t, "the list of the new address", updates); u.Kind != policy.ListReplace || u.Members[0].Server != "s9" {
+			t.Errorf("subscribe %v: update %+v", subscribe, u)
 		}
 		if q := receive(t, "the first call", queries); q != "" {
 			t.Errorf("subscribe %v: query of the first call: got %q, want none (full list)", subscribe, q)
@@ -307,8 +307,8 @@
 		if q := receive(t, "the second call", queries); !strings.HasPrefix(q, "index=2&wait=") {
 			t.Errorf("subscribe %v: query of the second call: got %q", subscribe, q)
 		}
-		if len(news) != 0 {
-			t.Errorf("subscribe %v: unexpected news %+v", subscribe, <-news)
+		if len(updates) != 0 {
+			t.Errorf("subscribe %v: unexpected update %+v", subscribe, <-updates)
 		}
 	}
 }
@@ -316,7 +316,7 @@
 // The old address may never answer again, so the call to it is cancelled rather than awaited.
 func TestMoveCancelsCallInFlight(t *testing.T) {
 	called, closed := make(chan struct{}), make(chan struct{})
-	old := httpServer(t, func(_ http.ResponseWriter, r *http.Request) {
+	old := startHTTPServer(t, func(_ http.ResponseWriter, r *http.Request) {
 		close(called)
 		<-r.Context().Done()
 		close(closed)
@@ -328,24 +328,24 @@
 	go func() { d.Run(ctx); close(done) }()
 	defer func() { cancel(); receive(t, "Run to return", done) }()
 	receive(t, "the call", called)
-	d.Move(httpServer(t, func(_ http.ResponseWriter, r *http.Request) { next <- struct{}{}; <-r.Context().Done() }))
+	d.Move(startHTTPServer(t, func(_ http.ResponseWriter, r *http.Request) { next <- struct{}{}; <-r.Context().Done() }))
 	receive(t, "the end of the old call", closed)
 	receive(t, "the new call", next)
 }
 
-// After failed calls were reported, the client polls even if the decision module, running late, doesn't request it:
-// what discovery has counts as delivered 6 s after it became reachable.
+// After failed calls were reported, the client polls even if the decision module is late to request updates: an update
+// counts as delivered 6 s after discovery became reachable.
 func TestPollsWhenUpdateRequestIsOverdue(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var calls []time.Time
 		unavailable := 0
 		d := New(Config{Addr: "127.0.0.1:9", Subscribe: true, Nodes: 1, Seed: 1, DrainGrace: time.Second,
 			Dial: func(context.Context, string, string) (net.Conn, error) {
-				here, there := net.Pipe()
-				go serveUnavailable(there, func() { calls = append(calls, time.Now()) })
-				return here, nil
-			}}, func(n Update) {
-			if n.Kind == policy.ListUnavailable {
+				client, server := net.Pipe()
+				go serveUnavailable(server, func() { calls = append(calls, time.Now()) })
+				return client, nil
+			}}, func(u Update) {
+			if u.Kind == policy.ListUnavailable {
 				unavailable++
 			}
 		})
@@ -361,7 +361,7 @@
 	})
 }
 
-// runOneMinute runs a client for a minute after one request to start or stop updates.
+// runOneMinute runs a client for a minute, with one call of RequestUpdates at the start.
 func runOneMinute(d *Client, enabled bool) {
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan struct{})
@@ -387,7 +387,7 @@
 	}
 }
 
-// A request for no updates stays in force until the next request.
+// RequestUpdates(false) stays in force until the next call of RequestUpdates.
 func TestDoesNotPollWhenUpdatesAreDeclined(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		calls := 0
--- a/internal/field/field_test.go
+++ b/internal/field/field_test.go
@@ -6,8 +6,8 @@
 	"testing"
 )
 
-// read decodes an object that holds a number, an array of numbers and an object from a stream, and adds up the numbers.
-func read(text string) (sum int, err error) {
+// decodeSum decodes an object that holds a number, an array of numbers and an object, and returns the sum of the numbers.
+func decodeSum(text string) (sum int, err error) {
 	dec := json.NewDecoder(strings.NewReader(text))
 	err = DecodeObject(dec, func(key string) error {
 		switch key {
@@ -44,13 +44,13 @@
 		`{"one":1,"many":[2,3],"other":{"a":[1]},"inner":{"n":4}}`: 10,
 		` {} `: 0, `null`: 0, `{"many":null,"one":null}`: 0, `{"many":[]}`: 0,
 	} {
-		if got, err := read(text); got != want || err != nil {
+		if got, err := decodeSum(text); got != want || err != nil {
 			t.Errorf("%s: %d, %v, want %d", text, got, err, want)
 		}
 	}
 }
 
-// Each error names the field that can't be decoded, and truncated text is never taken for complete.
+// Each error names the field that can't be decoded, and truncated text is never accepted.
 func TestStreamErrorsNameTheField(t *testing.T) {
 	for text, want := range map[string]string{
 		``: "unexpected EOF", `[]`: "want an object, got array", `7`: "want an object, got number", `"x"`: "got string", `true`: "got bool",
@@ -60,13 +60,13 @@
 		`{"one":1`: "unexpected EOF", `{"one":`: "one: unexpected EOF", `{"many":[1`: "many: unexpected EOF", `{"many":[1,`: "many[1]: unexpected EOF",
 		`{} {}`: "object after the end", `{} 7`: "number after the end", `{}]`: "invalid character",
 	} {
-		if _, err := read(text); err == nil || !strings.Contains(err.Error(), want) {
+		if _, err := decodeSum(text); err == nil || !strings.Contains(err.Error(), want) {
 			t.Errorf("%s: got %v, want an error containing %q", text, err, want)
 		}
 	}
 }
 
-func TestAddresses(t *testing.T) {
+func TestCheckAddress(t *testing.T) {
 	for addr, good := range map[string]bool{"127.0.0.1:9": true, "[::1]:65535": true, "host:0": true,
 		"": false, "nowhere": false, ":9": false, "host:": false, "host:65536": false, "host:x": false} {
 		if err := CheckAddress(addr); (err == nil) != good {
--- a/internal/invariant/rules_test.go
+++ b/internal/invariant/rules_test.go
@@ -22,30 +22,30 @@
 		change func(*Attempt)
 		want   Rule
 	}{
-		"a first attempt":                         {func(*Attempt) {}, None},
-		"after the answer":                        {func(a *Attempt) { a.Answered = true }, AttemptAfterAnswer},
-		"after the client has left":               {func(a *Attempt) { a.ClientLeft = true }, AttemptAfterDeparture},
-		"at the deadline":                         {func(a *Attempt) { a.Now = a.Deadline }, AttemptAfterDeadline},
-		"with just enough time left":              {func(a *Attempt) { a.Now = a.Deadline - MinAttemptTime }, None},
-		"with next to no time left":               {func(a *Attempt) { a.Now = a.Deadline - MinAttemptTime + 1 }, AttemptAfterDeadline},
-		"of a body that has gone on":              {func(a *Attempt) { a.BodySpent = true }, BodySpent},
-		"beyond the most":                         {func(a *Attempt) { a.Prior = []PriorAttempt{neverRan, neverRan, neverRan} }, TooManyAttempts},
-		"a first where none is allowed":           {func(a *Attempt) { a.MaxAttempts = 0 }, None},
-		"a second beside the first":               {func(a *Attempt) { a.Repeat, a.Prior = policy.Free, []PriorAttempt{inFlight} }, ConcurrentAttempts},
-		"a second beside the first, as allowed":   {func(a *Attempt) { a.Repeat, a.Prior, a.Hedging = policy.Free, []PriorAttempt{inFlight}, true }, None},
-		"again what never ran":                    {func(a *Attempt) { a.Prior = []PriorAttempt{neverRan} }, None},
-		"again what may have run":                 {func(a *Attempt) { a.Prior = []PriorAttempt{neverRan, ran} }, UnsafeRepeat},
-		"a second beside one that may not repeat": {func(a *Attempt) { a.Prior, a.Hedging = []PriorAttempt{inFlight}, true }, UnsafeRepeat},
-		"keyed, in its window":                    {func(a *Attempt) { a.Repeat, a.Prior = policy.Guarded, []PriorAttempt{ran} }, None},
-		"keyed, at the window's end": {func(a *Attempt) { a.Repeat, a.Prior, a.Window = policy.Guarded, []PriorAttempt{ran}, second },
+		"a first attempt":                            {func(*Attempt) {}, None},
+		"after the answer":                           {func(a *Attempt) { a.Answered = true }, AttemptAfterAnswer},
+		"after the client has left":                  {func(a *Attempt) { a.ClientLeft = true }, AttemptAfterDeparture},
+		"at the deadline":                            {func(a *Attempt) { a.Now = a.Deadline }, AttemptAfterDeadline},
+		"with MinAttemptTime left":                   {func(a *Attempt) { a.Now = a.Deadline - MinAttemptTime }, None},
+		"with less than MinAttemptTime left":         {func(a *Attempt) { a.Now = a.Deadline - MinAttemptTime + 1 }, AttemptAfterDeadline},
+		"with a body that is no longer buffered":     {func(a *Attempt) { a.BodySpent = true }, BodySpent},
+		"beyond MaxAttempts":                         {func(a *Attempt) { a.Prior = []PriorAttempt{neverRan, neverRan, neverRan} }, TooManyAttempts},
+		"a first attempt with MaxAttempts 0":         {func(a *Attempt) { a.MaxAttempts = 0 }, None},
+		"concurrent with the first, without hedging": {func(a *Attempt) { a.Repeat, a.Prior = policy.Free, []PriorAttempt{inFlight} }, ConcurrentAttempts},
+		"concurrent with the first, with hedging":    {func(a *Attempt) { a.Repeat, a.Prior, a.Hedging = policy.Free, []PriorAttempt{inFlight}, true }, None},
+		"repeat of a request that never ran":         {func(a *Attempt) { a.Prior = []PriorAttempt{neverRan} }, None},
+		"repeat of a request that may have run":      {func(a *Attempt) { a.Prior = []PriorAttempt{neverRan, ran} }, UnsafeRepeat},
+		"hedge of a request that must not run twice": {func(a *Attempt) { a.Prior, a.Hedging = []PriorAttempt{inFlight}, true }, UnsafeRepeat},
+		"keyed repeat within its window":             {func(a *Attempt) { a.Repeat, a.Prior = policy.Guarded, []PriorAttempt{ran} }, None},
+		"keyed repeat at the end of its window": {func(a *Attempt) { a.Repeat, a.Prior, a.Window = policy.Guarded, []PriorAttempt{ran}, second },
 			RepeatOutsideWindow},
-		"keyed, to another group": {func(a *Attempt) { a.Repeat, a.Prior = policy.Guarded, []PriorAttempt{{MayHaveRun: true}} },
+		"keyed repeat to another group": {func(a *Attempt) { a.Repeat, a.Prior = policy.Guarded, []PriorAttempt{{MayHaveRun: true}} },
 			RepeatOutsideWindow},
-		"keyed, by the first that may have run": {func(a *Attempt) {
+		"keyed repeat after the window of the first attempt that may have run": {func(a *Attempt) {
 			a.Repeat, a.Prior = policy.Guarded, []PriorAttempt{ran, {Sent: second, MayHaveRun: true, SameGroup: true}}
 			a.Window = second
 		}, RepeatOutsideWindow},
-		"safe to repeat": {func(a *Attempt) { a.Repeat, a.Prior = policy.Free, []PriorAttempt{ran} }, None},
+		"repeat of a request that is safe to repeat": {func(a *Attempt) { a.Repeat, a.Prior = policy.Free, []PriorAttempt{ran} }, None},
 	} {
 		a := plain
 		c.change(&a)
@@ -73,12 +73,12 @@
 func TestMayRefuse(t *testing.T) {
 	ran, neverRan := []PriorAttempt{{}, {MayHaveRun: true}}, []PriorAttempt{{}}
 	for name, c := range map[string]struct{ got, want Rule }{
-		"unsafe that may have run":        {MayRefuse(policy.Never, 0, ran), RefusedAfterEffect},
-		"unsafe that never ran":           {MayRefuse(policy.Never, 0, neverRan), None},
-		"keyed that all servers know":     {MayRefuse(policy.Guarded, policy.GroupAll, ran), None},
-		"keyed that one zone knows":       {MayRefuse(policy.Guarded, policy.GroupZone, ran), RefusedAfterEffect},
-		"safe":                            {MayRefuse(policy.Free, 0, ran), None},
-		"unsafe that was never attempted": {MayRefuse(policy.Never, 0, nil), None},
+		"unsafe request that may have run":              {MayRefuse(policy.Never, 0, ran), RefusedAfterEffect},
+		"unsafe request that never ran":                 {MayRefuse(policy.Never, 0, neverRan), None},
+		"keyed request, repeats dropped by all servers": {MayRefuse(policy.Guarded, policy.GroupAll, ran), None},
+		"keyed request, repeats dropped within a zone":  {MayRefuse(policy.Guarded, policy.GroupZone, ran), RefusedAfterEffect},
+		"safe request":                      {MayRefuse(policy.Free, 0, ran), None},
+		"unsafe request without an attempt": {MayRefuse(policy.Never, 0, nil), None},
 	} {
 		if c.got != c.want {
 			t.Errorf("%s: %v, want %v", name, c.got, c.want)
@@ -86,19 +86,19 @@
 	}
 }
 
-func TestTimesAndConnections(t *testing.T) {
+func TestTimeAndConnectionRules(t *testing.T) {
 	for name, c := range map[string]struct{ got, want Rule }{
-		"told what is left":            {MaySendTimeLeft(time.Second, time.Second), None},
-		"told a little more":           {MaySendTimeLeft(time.Second+DeadlineSlack, time.Second), None},
-		"told too much":                {MaySendTimeLeft(time.Second+DeadlineSlack+1, time.Second), DeadlineOverstated},
-		"answered in the grace":        {CheckAnswerTime(time.Second+AnswerGrace, time.Second), None},
-		"answered after it":            {CheckAnswerTime(time.Second+AnswerGrace+1, time.Second), AnswerLate},
-		"a close at rest":              {MayClose(Connection{}), None},
-		"a close over a request":       {MayClose(Connection{RequestOpen: true}), RequestUnanswered},
-		"a close over what was read":   {MayClose(Connection{ReadAhead: 1, UnreadBytes: true}), RequestUnanswered},
-		"a close over what has come":   {MayClose(Connection{UnreadBytes: true}), CloseOverUnreadBytes},
-		"a read":                       {MayRead(false), None},
-		"a read from what is given up": {MayRead(true), ReadAfterShutdown},
+		"server given the time left":        {MaySendTimeLeft(time.Second, time.Second), None},
+		"server given DeadlineSlack more":   {MaySendTimeLeft(time.Second+DeadlineSlack, time.Second), None},
+		"server given more than that":       {MaySendTimeLeft(time.Second+DeadlineSlack+1, time.Second), DeadlineOverstated},
+		"answer within the grace":           {CheckAnswerTime(time.Second+AnswerGrace, time.Second), None},
+		"answer after the grace":            {CheckAnswerTime(time.Second+AnswerGrace+1, time.Second), AnswerLate},
+		"close of an idle connection":       {MayClose(Connection{}), None},
+		"close with an open request":        {MayClose(Connection{RequestOpen: true}), RequestUnanswered},
+		"close with a request read ahead":   {MayClose(Connection{ReadAhead: 1, UnreadBytes: true}), RequestUnanswered},
+		"close with unread bytes":           {MayClose(Connection{UnreadBytes: true}), CloseOverUnreadBytes},
+		"read from an open connection":      {MayRead(false), None},
+		"read from an abandoned connection": {MayRead(true), ReadAfterShutdown},
 	} {
 		if c.got != c.want {
 			t.Errorf("%s: %v, want %v", name, c.got, c.want)
--- a/internal/logging/writer_test.go
+++ b/internal/logging/writer_test.go
@@ -18,7 +18,7 @@
 	mu      sync.Mutex
 	blocked chan struct{} // non-nil while writes block until it is closed
 	fails   bool
-	got     bytes.Buffer
+	written bytes.Buffer
 }
 
 func (g *gatedWriter) Write(p []byte) (int, error) {
@@ -33,7 +33,7 @@
 	}
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	return g.got.Write(p)
+	return g.written.Write(p)
 }
 
 // release lets all writes through, including blocked ones.
@@ -55,7 +55,7 @@
 func (g *gatedWriter) text() string {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	return g.got.String()
+	return g.written.String()
 }
 
 func TestLinesAreWrittenCompletelyInOrder(t *testing.T) {
--- a/internal/node/admin_test.go
+++ b/internal/node/admin_test.go
@@ -72,7 +72,7 @@
 	}{
 		{"GET", "/status", 503, starting},
 		{"POST", "/active", 200, starting},
-		{"LOAD", "", 0, active},
+		{"LOAD", "", 0, active}, // no call: the servers become known
 		{"GET", "/status", 200, active},
 		{"HEAD", "/status", 200, active},
 		{"POST", "/status", 405, active},
@@ -86,7 +86,7 @@
 		{"GET", "/status", 503, standby},
 		{"POST", "/active", 200, active},
 		{"POST", "/active", 200, active},
-		{"LEAVE", "", 0, leaving},
+		{"LEAVE", "", 0, leaving}, // no call: the process begins to stop
 		{"POST", "/standby", 200, leaving},
 		{"POST", "/active", 409, leaving},
 		{"GET", "/status", 503, leaving},
@@ -151,7 +151,7 @@
 	}
 }
 
-// Any number of callers that connect and never complete a request must not lock out others.
+// Callers that connect and never complete a request must not lock out others, however many there are.
 func TestStalledCallersDoNotBlockAdmin(t *testing.T) {
 	var life lifecycle
 	life.markServersKnown()
--- a/internal/node/bodies_test.go
+++ b/internal/node/bodies_test.go
@@ -21,7 +21,7 @@
 	"cobaltward/policy"
 )
 
-// largeBody returns n bytes of a body whose content differs from place to place, so that lost or misplaced pieces show.
+// largeBody returns n bytes of a body whose content depends on the position, so that lost or misplaced pieces are detected.
 func largeBody(n int) []byte {
 	p := make([]byte, n)
 	for i := range p {
@@ -85,7 +85,8 @@
 }
 
 // A response that is truncated while it is streamed to the client is truncated for the client too, so that it can't be
-// mistaken for a complete one, and is not attempted again. A response truncated before that counts as none.
+// mistaken for a complete one, and the request is not attempted again. A response that is truncated before streaming
+// begins counts as no response.
 func TestTruncatedLargeResponse(t *testing.T) {
 	var attempts atomic.Int32
 	sent := maxSmallBody + 9
@@ -303,7 +304,7 @@
 
 func (failingReader) Read([]byte) (int, error) { return 0, io.ErrUnexpectedEOF }
 
-// slowReader returns up to a number of bytes at a time, after a delay each.
+// slowReader returns at most chunkSize bytes per read, each time after the interval, until none remain.
 type slowReader struct {
 	interval  time.Duration
 	chunkSize int
@@ -326,7 +327,7 @@
 	for name, c := range map[string]struct {
 		reader  slowReader
 		elapsed time.Duration // since the head began to arrive
-		pause   time.Duration // by the node before each read
+		pause   time.Duration // of the node before each read
 		want    error
 		within  time.Duration
 	}{
@@ -449,7 +450,7 @@
 				want = strings.Replace(want, "<", fmt.Sprintf("<%d-", size), 1)
 				i := strings.Index(string(got[offset:]), want)
 				if i < 0 {
-					t.Errorf("%s, in pieces of %d: %q, want %q after what came before", name, size, got, want)
+					t.Errorf("%s, in pieces of %d: %q, want %q after the earlier responses", name, size, got, want)
 					break
 				}
 				offset += i + len(want)
@@ -459,7 +460,7 @@
 }
 
 // A head from which two implementations could derive different ends of the body (request smuggling) reaches no server, and
-// neither does anything behind it.
+// neither does anything that follows it.
 func TestAmbiguousHeadsReachNoServer(t *testing.T) {
 	var reached atomic.Int32
 	addr := startHTTPServer(t, func(_ http.ResponseWriter, r *http.Request) {
@@ -471,21 +472,21 @@
 	head := "POST /api HTTP/1.1\r\nHost: a\r\nX-Request-Id: outer\r\nX-Class: pay\r\nX-Tenant: t\r\nX-Deadline-Ms: 8000\r\n"
 	hidden := "GET /api HTTP/1.1\r\nHost: a\r\nX-Request-Id: inner\r\nX-Class: read\r\nX-Tenant: t\r\nX-Deadline-Ms: 8000\r\n\r\n"
 	for name, raw := range map[string]string{
-		"length beside a coding":  head + "Content-Length: 5\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n" + hidden,
-		"coding beside a length":  head + "transfer-encoding: chunked\r\nCONTENT-LENGTH: 0\r\n\r\n0\r\n\r\n" + hidden,
-		"a bare line feed":        head + "X: y\nContent-Length: 0\r\n\r\n" + hidden,
-		"bare line feeds":         strings.ReplaceAll(head, "\r\n", "\n") + "Content-Length: 0\n\n" + hidden,
-		"a bare end of the head":  head + "Content-Length: 0\r\n\n" + hidden,
-		"lengths that differ":     head + "Content-Length: 0\r\nContent-Length: 3\r\n\r\n" + hidden,
-		"a list of lengths":       head + "Content-Length: 0, 3\r\n\r\n" + hidden,
-		"a signed length":         head + "Content-Length: +0\r\n\r\n" + hidden,
-		"a bad chunk size":        head + "Transfer-Encoding: chunked\r\n\r\n0x1\r\nx\r\n0\r\n\r\n" + hidden,
-		"a chunk size too large":  head + "Transfer-Encoding: chunked\r\n\r\nfffffffffffffffff\r\nx\r\n0\r\n\r\n" + hidden,
-		"a chunk that is longer":  head + "Transfer-Encoding: chunked\r\n\r\n1\r\nxyz\r\n0\r\n\r\n" + hidden,
-		"two codings":             head + "Transfer-Encoding: gzip, chunked\r\n\r\n0\r\n\r\n" + hidden,
-		"a space before a colon":  head + "Content-Length : 3\r\n\r\n" + hidden,
-		"a bad chunk far behind":  head + "Transfer-Encoding: chunked\r\n\r\n" + fmt.Sprintf("%x\r\n%s\r\nzz\r\n", 2*maxSmallBody, largeBody(2*maxSmallBody)) + hidden,
-		"an ambiguous second one": strings.Replace(hidden, "inner", "first", 1) + head + "Content-Length: 0\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n",
+		"length beside a coding":       head + "Content-Length: 5\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n" + hidden,
+		"coding beside a length":       head + "transfer-encoding: chunked\r\nCONTENT-LENGTH: 0\r\n\r\n0\r\n\r\n" + hidden,
+		"a bare line feed":             head + "X: y\nContent-Length: 0\r\n\r\n" + hidden,
+		"bare line feeds":              strings.ReplaceAll(head, "\r\n", "\n") + "Content-Length: 0\n\n" + hidden,
+		"a bare end of the head":       head + "Content-Length: 0\r\n\n" + hidden,
+		"lengths that differ":          head + "Content-Length: 0\r\nContent-Length: 3\r\n\r\n" + hidden,
+		"a list of lengths":            head + "Content-Length: 0, 3\r\n\r\n" + hidden,
+		"a signed length":              head + "Content-Length: +0\r\n\r\n" + hidden,
+		"a bad chunk size":             head + "Transfer-Encoding: chunked\r\n\r\n0x1\r\nx\r\n0\r\n\r\n" + hidden,
+		"a chunk size too large":       head + "Transfer-Encoding: chunked\r\n\r\nfffffffffffffffff\r\nx\r\n0\r\n\r\n" + hidden,
+		"a chunk longer than its size": head + "Transfer-Encoding: chunked\r\n\r\n1\r\nxyz\r\n0\r\n\r\n" + hidden,
+		"two codings":                  head + "Transfer-Encoding: gzip, chunked\r\n\r\n0\r\n\r\n" + hidden,
+		"a space before a colon":       head + "Content-Length : 3\r\n\r\n" + hidden,
+		"a bad chunk after 128 kB":     head + "Transfer-Encoding: chunked\r\n\r\n" + fmt.Sprintf("%x\r\n%s\r\nzz\r\n", 2*maxSmallBody, largeBody(2*maxSmallBody)) + hidden,
+		"an ambiguous second one":      strings.Replace(hidden, "inner", "first", 1) + head + "Content-Length: 0\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n",
 	} {
 		reached.Store(0)
 		conn, err := net.Dial("tcp", node)
@@ -528,7 +529,7 @@
 				}
 				head, rest = append(head, p[:n]...), rest[n:]
 				if scanner.headCount != before { // empty lines before a head belong to it, and none of them ends it
-					if end := strings.TrimLeft(string(head), "\r\n"); !strings.HasSuffix(end, "\n\n") && !strings.HasSuffix(end, "\n\r\n") {
+					if trimmed := strings.TrimLeft(string(head), "\r\n"); !strings.HasSuffix(trimmed, "\n\n") && !strings.HasSuffix(trimmed, "\n\r\n") {
 						t.Fatalf("%q is no head", head)
 					}
 					all = append(all, fmt.Sprintf("%q %+v", head, scanner.violations))
@@ -586,11 +587,11 @@
 		})
 		l, _ := startLoop(t, addr, sendOnce)
 		if !hasMemory {
-			c := tryReserve(l.upstream.memory.heldRequests, int64(budgetFraction*64*(1<<20)))
-			if c == nil {
+			res := tryReserve(l.upstream.memory.heldRequests, int64(budgetFraction*64*(1<<20)))
+			if res == nil {
 				t.Fatal("no memory at the start")
 			}
-			defer c.release()
+			defer res.release()
 		}
 		node := startHTTPServer(t, newServer(testConfig(t, memberListJSON(addr)), l).ServeHTTP)
 		bodyReader, bodyWriter := io.Pipe()
@@ -626,10 +627,12 @@
 	}
 }
 
-// A request for whose body there is no memory, since other bodies use it all, is refused before its deadline: it has been
-// written completely to a connection of the node, so it must get a final answer.
+// A request for whose body there is no memory, since other bodies use it all, is refused before its deadline: its client
+// has sent it completely, so it must get a final answer.
 func TestBodyWithoutMemoryIsRefusedInTime(t *testing.T) {
-	addr := startHTTPServer(t, func(http.ResponseWriter, *http.Request) { t.Error("a request without memory reached a server") })
+	addr := startHTTPServer(t, func(http.ResponseWriter, *http.Request) {
+		t.Error("a request whose body got no memory reached a server")
+	})
 	up := testUpstream(t, addr)
 	l, err := newLoop(testConfig(t, memberListJSON(addr)), clock{start: time.Now()}, up)
 	if err != nil {
@@ -646,7 +649,9 @@
 // When the process shuts down, requests whose bodies wait for memory are refused at once, since the connections are closed
 // soon after.
 func TestBodyWithoutMemoryIsRefusedAtShutdown(t *testing.T) {
-	addr := startHTTPServer(t, func(http.ResponseWriter, *http.Request) { t.Error("a request without memory reached a server") })
+	addr := startHTTPServer(t, func(http.ResponseWriter, *http.Request) {
+		t.Error("a request whose body got no memory reached a server")
+	})
 	up := testUpstream(t, addr)
 	c := testConfig(t, memberListJSON(addr))
 	for i := range c.Settings.Classes {
--- a/internal/node/client_request_test.go
+++ b/internal/node/client_request_test.go
@@ -6,8 +6,8 @@
 	"testing"
 )
 
-// The start of an attempt and a handler's refusal, which promises that no attempt was made, exclude each other in whatever
-// order they happen.
+// The start of an attempt and a handler's refusal, which guarantees that no attempt was made, exclude each other in
+// whatever order they happen.
 func TestAttemptAndHandlerRefusalAreExclusive(t *testing.T) {
 	const rounds = 20_000
 	for range rounds {
@@ -21,7 +21,7 @@
 		case !answered:
 			t.Fatal("the handler could not end a request that was open")
 		case refused == attempted:
-			t.Fatalf("an attempt began: %v, the answer promises that none did: %v", attempted, refused)
+			t.Fatalf("an attempt began: %v, the answer guarantees that none did: %v", attempted, refused)
 		}
 	}
 }
--- a/internal/node/clients_test.go
+++ b/internal/node/clients_test.go
@@ -54,8 +54,9 @@
 	}
 }
 
-// Connections are evicted in the order of what their loss costs the client, and within a rank the longest silent first.
-// Connections with a complete request or with unread data are never evicted.
+// Connections whose loss costs the client least are evicted first, and of those with the same rank the one that has been
+// silent for longest. Connections with a complete request, with a chunked or large body, or with unread data are never
+// evicted.
 func TestEvictionOrder(t *testing.T) {
 	l, dial := testClientListener(t, 100)
 	now := time.Now()
@@ -117,7 +118,7 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.evict() || l.open != 5 {
-		t.Errorf("%d open; want only those with a complete request or a paced body, and the one with unread data", l.open)
+		t.Errorf("%d open; want only those with a complete request or with a chunked or large body, and the one with unread data", l.open)
 	}
 }
 
@@ -130,9 +131,9 @@
 	}
 }
 
-// Clients may use the file descriptors that the server side leaves free. When the server side needs them, it reclaims
-// them by closing client connections that the node only waits for.
-func TestFreeDescriptorsAreLent(t *testing.T) {
+// Clients may use the file descriptors that connections to servers leave free. When those need them, the descriptors are
+// reclaimed by closing client connections without a complete request.
+func TestFreeDescriptorsAreBorrowed(t *testing.T) {
 	l, dial := testClientListener(t, 2)
 	u := newUpstream(testConfig(t, memberListJSON()), 4)
 	l.spareDescriptors, u.borrowed, u.reclaim = u.spareDescriptors, l.borrowed, l.reclaim
@@ -169,7 +170,7 @@
 	}
 }
 
-// Connections on lent descriptors that have a complete request are not closed for the server side.
+// Client connections on borrowed descriptors that have a complete request are not closed for connections to servers.
 func TestBorrowedDescriptorsInUseAreNotReclaimed(t *testing.T) {
 	l, dial := testClientListener(t, 1)
 	u := newUpstream(testConfig(t, memberListJSON()), 2)
--- a/internal/node/crossings_test.go
+++ b/internal/node/crossings_test.go
@@ -189,7 +189,7 @@
 			defer s.lifecycle.stopDraining()
 			listener := blockingListener{make(chan struct{})}
 			clients := newClientListener(listener, 10)
-			clients.open = 1 // one that never closes
+			clients.open = 1 // a connection that is never closed
 			acceptResult, start, ended := make(chan error, 1), time.Now(), make(chan struct{})
 			acceptResult <- http.ErrServerClosed
 			go func() { s.drain(c, clients, acceptResult, false); close(ended) }()
@@ -206,7 +206,7 @@
 }
 
 // A request with an idempotency key may be sent again only within a window. A connection that is established after the
-// window carries nothing, and the decision module is told that the attempt was not sent.
+// window carries nothing, and the decision module is notified that the attempt was not sent.
 func TestConnectionEstablishedAfterRetryWindow(t *testing.T) {
 	for _, established := range []bool{false, true} {
 		got := make(chan string, 10)
--- a/internal/node/departures_test.go
+++ b/internal/node/departures_test.go
@@ -262,14 +262,14 @@
 	*policy.Balancer
 }
 
-func (g *lockedBalancer) Handle(now policy.Time, ev policy.Event) []policy.Action {
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	return g.Balancer.Handle(now, ev)
+func (b *lockedBalancer) Handle(now policy.Time, ev policy.Event) []policy.Action {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	return b.Balancer.Handle(now, ev)
 }
 
-func (g *lockedBalancer) String() string {
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	return g.Balancer.String()
+func (b *lockedBalancer) String() string {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	return b.Balancer.String()
 }
--- a/internal/node/freshness_test.go
+++ b/internal/node/freshness_test.go
@@ -49,7 +49,7 @@
 	silenced     chan struct{}
 	disconnected chan struct{}
 	nextFree     time.Time
-	deliveredAt  map[string]time.Time // by node: when news counts as delivered, though its call failed
+	deliveredAt  map[string]time.Time // by node: when the update counts as delivered, even if the call for it failed
 }
 
 func newFakeDiscovery(t *testing.T) *fakeDiscovery {
@@ -145,6 +145,7 @@
 		_, _ = in.ReadByte() // until the node closes the connection
 		return false
 	}
+	// without an answer, an update counts as delivered 6 s later
 	hangUndelivered := func() bool { return hang(time.Now().Add(6 * time.Second)) }
 	fault := faultFor(n)
 	switch fault {
@@ -211,7 +212,7 @@
 	}
 }
 
-// markDelivered records that news counts as delivered to a node from now on, unless it did already.
+// markDelivered records that the update counts as delivered to a node from now on, unless it did already.
 func (fake *fakeDiscovery) markDelivered(node string) {
 	fake.mu.Lock()
 	defer fake.mu.Unlock()
@@ -225,6 +226,7 @@
 	return err == nil
 }
 
+// deliveryTime returns when the update counts as delivered to a node, or zero.
 func (fake *fakeDiscovery) deliveryTime(node string) time.Time {
 	fake.mu.Lock()
 	defer fake.mu.Unlock()
@@ -273,7 +275,8 @@
 	return true
 }
 
-// forEachListMode runs a test with lists that are fetched on the module's request, and with lists that are always watched.
+// forEachListMode runs a test with a list that is fetched on the module's request, and with a pushed list, which the node
+// always watches.
 func forEachListMode(t *testing.T, test func(t *testing.T, subscribe bool)) {
 	for name, subscribe := range map[string]bool{"on request": true, "pushed": false} {
 		t.Run(name, func(t *testing.T) {
@@ -335,8 +338,9 @@
 	}
 }
 
-// All open watches of a fleet are reset together, and a server begins to drain right after. That counts as delivered 6 s
-// later, whatever interval the settings allow for requests; discovery can't answer all nodes at once.
+// All open watches of a fleet are reset together, and a server begins to drain right after. The drain counts as delivered
+// 6 s later, even if the settings allow more time between requests for updates, and though discovery can't answer all nodes
+// at once.
 func TestDrainsReachFleetAfterResetWatches(t *testing.T) {
 	for _, nodes := range []int{1, 2, 6, 40, maxFleetSize} {
 		for seed := range uint64(3) {
@@ -414,8 +418,8 @@
 	}
 }
 
-// A call fails in each possible way, as the first call or later, once or twice in a row. A drain that the failure hides,
-// completely or in part, must be known before the grace is over.
+// A call fails in each possible way, as the first call or later, once or twice in a row, and a server begins to drain during
+// it. The node must know of the drain before the grace is over, even if the answer is missing, late, incomplete or invalid.
 func TestDrainsReachNodeDespiteFailedCalls(t *testing.T) {
 	for _, fault := range []string{"silent", "silent in its head", "silent in its body", "trickling", "reset", "no HTTP",
 		"malformed", "bad entry", "503", "queued", "late"} {
@@ -425,7 +429,7 @@
 					t.Run(fmt.Sprintf("%s, call %d, %d times, %d nodes", fault, first, times, nodes), func(t *testing.T) {
 						forEachListMode(t, func(t *testing.T, subscribe bool) {
 							if fault == "queued" && !subscribe {
-								return // what the agent of a pushed list has counts as delivered at once: no call may queue
+								return // an update of a pushed list counts as delivered at once, so no call may wait in a queue
 							}
 							for seed := range uint64(10) {
 								fake, begun := newFakeDiscovery(t), make(chan struct{})
@@ -444,11 +448,11 @@
 								drained := time.Now()
 								synctest.Wait()
 								deliveredAt := fake.deliveryTime("0")
-								if fault == "late" { // delivered when it is written
+								if fault == "late" { // it counts as delivered when the answer is written
 									deliveredAt = drained.Add(10 * time.Second)
 								}
 								if strings.Contains(fault, " in its ") || fault == "trickling" && times > 1 {
-									deliveredAt = drained.Add(6 * time.Second) // it was not written completely
+									deliveredAt = drained.Add(6 * time.Second) // the answer was not written completely
 								}
 								if deliveredAt.IsZero() { // the node has no watch, and no answer has begun
 									if deliveredAt = drained; subscribe {
@@ -479,8 +483,8 @@
 	return b.String()
 }
 
-// After a move (SIGHUP) news counts as delivered 4 s later, whatever the state of the node: a watch without an answer, an
-// old address that is down and not retried for a while, a first call to the new address that fails.
+// After a move (SIGHUP) an update counts as delivered 4 s later, whatever the state of the node: its watch may get no answer,
+// the old address may be down and in backoff, or the first call to the new address may fail.
 func TestDrainsReachNodeAfterMove(t *testing.T) {
 	for _, before := range []string{"", "silent", "down"} {
 		for _, answer := range []string{"", "silent", "malformed", "a part", "503", "reset", "trickling"} {
@@ -603,9 +607,9 @@
 					fake.updateList(memberJSON("s0", "draining"))
 					fake.mu.Lock()
 					fake.down, fake.faultFor = false, func(int) string { return "" }
-					before, free := len(fake.calls), time.Now()
-					if fake.nextFree.After(free) {
-						fake.nextFree = free
+					before, returned := len(fake.calls), time.Now()
+					if fake.nextFree.After(returned) {
+						fake.nextFree = returned
 					}
 					fake.mu.Unlock()
 					time.Sleep(6*time.Second + drainGrace)
@@ -638,7 +642,7 @@
 // maxUpdateRequestDelay is the longest pause before the module requests updates again: 1.5 times a quarter of 6 s.
 const maxUpdateRequestDelay = 2250 * time.Millisecond
 
-// With lists on request, the module gets one report that the list is unavailable, soon after news that failed calls may
+// With lists on request, the module gets one report that the list is unavailable, soon after an update that failed calls may
 // have missed counts as delivered. No call is made until the module requests updates again.
 func TestRequestedListsReportFailures(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
@@ -662,7 +666,7 @@
 				t.Fatalf("update %+v, want an unavailable list", u)
 			}
 			if after := time.Since(began); after > 6*time.Second+drainGrace+time.Second {
-				t.Errorf("the module is told of the failures after %v", after)
+				t.Errorf("the module is notified of the failures after %v", after)
 			}
 			before := fake.callCount()
 			time.Sleep(maxUpdateRequestDelay)
@@ -681,27 +685,27 @@
 	})
 }
 
-// Updates arrive even if discovery takes long for each call. A node that gave its calls up too early would queue again
-// from the end each time.
+// Updates arrive even if discovery takes long for each call. A node that gave up its calls too early would go back to the end
+// of the queue each time.
 func TestUpdatesFromSlowDiscovery(t *testing.T) {
 	forEachListMode(t, func(t *testing.T, subscribe bool) {
-		for _, each := range []time.Duration{1900 * time.Millisecond, 2900 * time.Millisecond, 5 * time.Second} {
+		for _, callDuration := range []time.Duration{1900 * time.Millisecond, 2900 * time.Millisecond, 5 * time.Second} {
 			fake := newFakeDiscovery(t)
-			fake.callDuration, fake.maxQueueWait = each, 10*time.Second
+			fake.callDuration, fake.maxQueueWait = callDuration, 10*time.Second
 			l := startListNode(t, fake, 0, 350, subscribe, 1)
 			time.Sleep(15 * time.Second)
 			fake.silenceWatches()
 			fake.updateList(memberJSON("s0", "draining"))
 			time.Sleep(40 * time.Second)
 			if !knowsDrain(l) {
-				t.Errorf("%v per call: the drain is not known 40 s later; calls at %s", each, callLog(fake, time.Now()))
+				t.Errorf("%v per call: the drain is not known 40 s later; calls at %s", callDuration, callLog(fake, time.Now()))
 			}
 		}
 	})
 }
 
-// A watch without changes costs one call per 2.6 s on average. With a grace of one second, unanswered watches leave no
-// room for longer waits.
+// A watch without changes costs one call per 2.6 s on average. It can't wait longer: with a grace of one second, a node that
+// gets no answer would then learn of a drain too late.
 func TestIdleWatchCallRate(t *testing.T) {
 	for nodes, want := range map[int][2]int{1: {330, 360}, 2: {330, 360}, 350: {300, 390}} {
 		forEachListMode(t, func(t *testing.T, subscribe bool) {
--- a/internal/node/handover_test.go
+++ b/internal/node/handover_test.go
@@ -86,8 +86,8 @@
 	return c
 }
 
-// Running processes are recognized by their locks. The files of dead processes are removed; those with unusable names
-// must do no harm.
+// Running processes are recognized by their locks. The files of dead processes are removed; files with unusable names
+// must cause no errors.
 func TestFilesOfDeadProcessesAreRemoved(t *testing.T) {
 	dir := t.TempDir()
 	now := time.Now()
@@ -291,9 +291,9 @@
 	next.leave()
 }
 
-// A server's drain that the old process has heard of from discovery must reach the new process too, because the new
-// one's own first call to discovery may fail or be queued. Once discovery has answered the new process, lists from the
-// old one are ignored.
+// When the old process learns from discovery that a server drains, the new process must learn it too, because the new
+// process's own first call to discovery may fail or be queued. Once discovery has answered the new process, lists from
+// the old one are ignored.
 func TestNewProcessFollowsListOfTheOldOne(t *testing.T) {
 	dir := t.TempDir()
 	first, err := join(dir)
@@ -321,26 +321,26 @@
 	next := &sharedLimits{handover: second, loop: l, lifecycle: new(lifecycle), clients: newClientListener(ln, 100), upstream: l.upstream,
 		clientSockets: 100, serverSockets: 150, reservedSockets: 30}
 	now := time.Now()
-	receiveList := func(revision int64, phase policy.Availability) {
+	receiveList := func(revision int64, availability policy.Availability) {
 		t.Helper()
-		saved := snapshot{Saved: now, Revision: revision, Members: []discovery.Member{memberWithAvailability(t, "127.0.0.1:9", phase)}}
+		saved := snapshot{Saved: now, Revision: revision, Members: []discovery.Member{memberWithAvailability(t, "127.0.0.1:9", availability)}}
 		if err := first.writeSnapshot(saved); err != nil {
 			t.Fatal(err)
 		}
 		next.step(now)
 		next.step(now)
 	}
-	phase := func() policy.Availability { return l.snapshot().Members[0].Availability }
+	currentAvailability := func() policy.Availability { return l.snapshot().Members[0].Availability }
 	receiveList(8, policy.Draining)
-	if phase() != policy.Draining {
+	if currentAvailability() != policy.Draining {
 		t.Error("the new process did not learn of the drain from the old one")
 	}
-	if lists != 2 { // phase has waited for the loop
+	if lists != 2 { // the loop has handled all events before currentAvailability returned
 		t.Errorf("the decision module got %d lists, want 2: the initial one and the change", lists)
 	}
 	l.send(discovery.Update{Kind: policy.ListUpdate, Members: []discovery.Member{memberWithAvailability(t, "127.0.0.1:9", policy.Running)}, Revision: 9})
 	receiveList(10, policy.Draining)
-	if phase() != policy.Running {
+	if currentAvailability() != policy.Running {
 		t.Error("the list from the old process overrode the one from discovery")
 	}
 }
--- a/internal/node/head_test.go
+++ b/internal/node/head_test.go
@@ -5,8 +5,8 @@
 	"testing"
 )
 
-// However a chunked body is split, none of its bytes are delivered together with bytes behind its end, and most of them are
-// not delivered singly.
+// However the data of a connection is split, no scan delivers bytes of a chunked body together with bytes after its end,
+// and most of the body is not delivered byte by byte.
 func TestChunkedBodiesAreDeliveredUpToTheirEnd(t *testing.T) {
 	plain := strings.Repeat("some text\nand more\r\n", 200)
 	for name, body := range map[string]string{
@@ -34,7 +34,7 @@
 				delivered, rest = delivered+n, rest[n:]
 			}
 			if scanner.endChunkedBody(); scanner.bodyLeft != 0 {
-				t.Errorf("%s in pieces of %d: no heads are recognized behind it", name, size)
+				t.Errorf("%s in pieces of %d: no heads are recognized after it", name, size)
 			}
 			if size > 100 && single > 100 {
 				t.Errorf("%s in pieces of %d: %d bytes are delivered singly", name, size, single)
--- a/internal/node/hollow_test.go
+++ b/internal/node/hollow_test.go
@@ -10,7 +10,7 @@
 	"cobaltward/policy"
 )
 
-// A hollow node reports the known list and each change, and nothing else.
+// A hollow node reports the known list and each update that changes the list, and no other updates.
 func TestHollowNodeReportsAppliedLists(t *testing.T) {
 	c := testConfig(t, memberListJSON("127.0.0.1:9"))
 	l, err := newLoop(c, clock{start: time.Now()}, newUpstream(c, 0))
--- a/internal/node/late_loop_test.go
+++ b/internal/node/late_loop_test.go
@@ -30,8 +30,8 @@
 }
 
 // newStalledNode starts a stalledNode in a synctest bubble, with its loop blocked. The module responds to all other events
-// with answer.
-func newStalledNode(t *testing.T, answer func(policy.Time, policy.Event) []policy.Action) *stalledNode {
+// with respond.
+func newStalledNode(t *testing.T, respond func(policy.Time, policy.Event) []policy.Action) *stalledNode {
 	t.Helper()
 	c := testConfig(t, memberListJSON("127.0.0.1:9"))
 	n := &stalledNode{}
@@ -51,7 +51,7 @@
 			<-gate
 			return nil
 		}
-		return answer(now, ev)
+		return respond(now, ev)
 	}}
 	l.module = n.module
 	n.server = newServer(c, l)
@@ -92,8 +92,8 @@
 	return answered
 }
 
-// A request that was read gets its final answer before its deadline though the loop is blocked, and the loop makes no
-// attempt for it once it continues.
+// A request that was read gets its final answer before its deadline even if the loop is blocked, and the loop makes no
+// attempt for it when it is unblocked.
 func TestStalledLoopRequestIsAnsweredInTime(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		n := newStalledNode(t, sendOnce)
@@ -162,8 +162,8 @@
 	})
 }
 
-// The handler of a client that has disconnected returns at once even if the loop is blocked, so that its connection's place is
-// free for another client.
+// The handler of a client that has disconnected returns at once even if the loop is blocked, so that another client can
+// connect in its place.
 func TestStalledLoopReleasesDisconnectedClient(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		n := newStalledNode(t, sendOnce)
--- a/internal/node/lifecycle_test.go
+++ b/internal/node/lifecycle_test.go
@@ -12,8 +12,8 @@
 	"time"
 )
 
-// assertState fails the test if the phase, the readiness or closesAfterAnswer differs from what is expected.
-func (l *lifecycle) assertState(t *testing.T, when string, p phase, ready, closes bool) {
+// expectState fails the test if the phase, the readiness or closesAfterAnswer differs from what is expected.
+func (l *lifecycle) expectState(t *testing.T, when string, p phase, ready, closes bool) {
 	t.Helper()
 	if l.phase() != p || l.ready() != ready || l.closesAfterAnswer() != closes {
 		t.Errorf("%s: %v, ready %v, closes connections %v; want %v, %v, %v", when, l.phase(), l.ready(),
@@ -28,18 +28,18 @@
 		closed := 0
 		l := lifecycle{closeIdle: func(time.Time) { closed++ }}
 		defer l.stopDraining()
-		l.assertState(t, "at the start", starting, false, false)
+		l.expectState(t, "at the start", starting, false, false)
 		l.markServersKnown()
-		l.assertState(t, "with servers known", active, true, false)
+		l.expectState(t, "with servers known", active, true, false)
 		l.enterStandby()
-		l.assertState(t, "right after enterStandby", standby, false, false)
+		l.expectState(t, "right after enterStandby", standby, false, false)
 		time.Sleep(standbyNotice - time.Millisecond)
 		synctest.Wait()
-		l.assertState(t, "before standbyNotice has passed", standby, false, false)
-		l.enterStandby() // a repeated call doesn't restart the notice
+		l.expectState(t, "before standbyNotice has passed", standby, false, false)
+		l.enterStandby() // a repeated call doesn't restart the timer
 		time.Sleep(2 * time.Millisecond)
 		synctest.Wait()
-		l.assertState(t, "after standbyNotice", standby, false, true)
+		l.expectState(t, "after standbyNotice", standby, false, true)
 		time.Sleep(10 * closeIdleInterval)
 		synctest.Wait()
 		if closed < 10 {
@@ -48,18 +48,19 @@
 		if err := l.activate(); err != nil {
 			t.Error(err)
 		}
-		l.assertState(t, "active again", active, true, false)
+		l.expectState(t, "active again", active, true, false)
 		before := closed
 		time.Sleep(10 * standbyNotice)
 		synctest.Wait()
-		l.assertState(t, "long after standby", active, true, false)
+		l.expectState(t, "long after standby", active, true, false)
 		if closed != before {
 			t.Errorf("closeIdle was still called after standby had ended")
 		}
 	})
 }
 
-// Standby that ends before standbyNotice has passed must not leave a timer running: a second standby gets the full notice.
+// Standby that ends before standbyNotice has passed must not leave a timer running: a second standby lasts for the whole
+// of standbyNotice before connections are closed.
 func TestActivateBeforeStandbyNotice(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var l lifecycle
@@ -73,12 +74,12 @@
 			}
 		}
 		l.enterStandby()
-		time.Sleep(3 * standbyNotice / 4) // the first standby's notice would have passed
+		time.Sleep(3 * standbyNotice / 4) // the timer of the first standby would have expired
 		synctest.Wait()
-		l.assertState(t, "during the second notice", standby, false, false)
+		l.expectState(t, "during the second notice", standby, false, false)
 		time.Sleep(standbyNotice)
 		synctest.Wait()
-		l.assertState(t, "after the second notice", standby, false, true)
+		l.expectState(t, "after the second notice", standby, false, true)
 	})
 }
 
@@ -90,19 +91,19 @@
 		l.markServersKnown()
 		l.beginLeaving(time.Second)
 		l.enterStandby()
-		l.assertState(t, "after enterStandby", leaving, false, false)
+		l.expectState(t, "after enterStandby", leaving, false, false)
 		if l.activate() == nil {
 			t.Error("activate succeeded while the process was stopping")
 		}
 		time.Sleep(1100 * time.Millisecond)
 		synctest.Wait()
-		l.assertState(t, "after the notice", leaving, false, true)
+		l.expectState(t, "after the notice", leaving, false, true)
 		l.beginClosing()
-		l.assertState(t, "after beginClosing", closing, false, true)
+		l.expectState(t, "after beginClosing", closing, false, true)
 	})
 }
 
-// Standby may begin and end before the servers are known; whichever was last remains in effect once they are.
+// Standby may begin and end before the servers are known; the operators' last call takes effect once they are.
 func TestStandbyBeforeServersAreKnown(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var l lifecycle
@@ -111,14 +112,14 @@
 		if err := l.activate(); err != nil {
 			t.Error(err)
 		}
-		l.assertState(t, "after activate", starting, false, false)
+		l.expectState(t, "after activate", starting, false, false)
 		l.enterStandby()
 		l.markServersKnown()
-		l.assertState(t, "with servers known", standby, false, false)
+		l.expectState(t, "with servers known", standby, false, false)
 		if err := l.activate(); err != nil {
 			t.Error(err)
 		}
-		l.assertState(t, "active again", active, true, false)
+		l.expectState(t, "active again", active, true, false)
 	})
 }
 
--- a/internal/node/loop_test.go
+++ b/internal/node/loop_test.go
@@ -62,7 +62,7 @@
 }
 
 // startLoop runs a loop with a scripted module and the server s0 at addr.
-func startLoop(t *testing.T, addr string, answer func(policy.Time, policy.Event) []policy.Action) (*loop, *scriptedModule) {
+func startLoop(t *testing.T, addr string, respond func(policy.Time, policy.Event) []policy.Action) (*loop, *scriptedModule) {
 	t.Helper()
 	c := testConfig(t, memberListJSON(addr))
 	up := newUpstream(c, 100)
@@ -70,7 +70,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	s := &scriptedModule{respond: answer}
+	s := &scriptedModule{respond: respond}
 	l.module = s
 	ctx, cancel := context.WithCancel(context.Background())
 	ended := make(chan struct{})
@@ -83,7 +83,7 @@
 	return l, s
 }
 
-// sendArrival sends the loop a request whose client waits for so long from now on.
+// sendArrival sends the loop a request whose client waits for timeout from now on.
 func (l *loop) sendArrival(id string, timeout time.Duration) *clientRequest {
 	x := testClientRequest(http.MethodGet, id, "")
 	x.arrivedAt, x.clientTimeout = l.clock.now(), timeout
--- a/internal/node/overload_test.go
+++ b/internal/node/overload_test.go
@@ -61,7 +61,7 @@
 		now = now.Add(after)
 		return s.observe(now, waited)
 	}
-	for range 20 { // a burst that is being worked off
+	for range 20 { // a burst that is being processed
 		if observe(time.Millisecond, 150*time.Millisecond) {
 			t.Fatal("refused in a burst")
 		}
@@ -96,13 +96,13 @@
 // decides the other requests in time.
 func TestSlowLoopShedsLoad(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		const work, apart, count = 10 * time.Millisecond, 4 * time.Millisecond, 500
+		const decisionTime, arrivalInterval, count = 10 * time.Millisecond, 4 * time.Millisecond, 500
 		n := newStalledNode(t, func(_ policy.Time, ev policy.Event) []policy.Action {
 			e, ok := ev.(policy.Request)
 			if !ok {
 				return nil
 			}
-			time.Sleep(work) // on the bubble's clock: what a decision costs this node
+			time.Sleep(decisionTime) // on the bubble's clock
 			return []policy.Action{{Kind: policy.Refuse, ID: e.ID, Wait: time.Minute}}
 		})
 		n.release()
@@ -121,7 +121,7 @@
 				w := <-answered
 				outcomes <- outcome{w.Header().Get("Retry-After"), time.Since(began)}
 			}()
-			time.Sleep(apart)
+			time.Sleep(arrivalInterval)
 		}
 		for range count {
 			o := <-outcomes
--- a/internal/node/queued_test.go
+++ b/internal/node/queued_test.go
@@ -13,19 +13,20 @@
 	"time"
 )
 
-// pipelinedRequest returns the head of a GET request, with more header lines, for connections with several requests.
-func pipelinedRequest(id, more string) string {
-	return "GET /api HTTP/1.1\r\nHost: a\r\nX-Request-Id: " + id + "\r\nX-Class: read\r\nX-Tenant: t\r\nX-Deadline-Ms: 2000\r\n" + more + "\r\n"
+// pipelinedRequest returns the head of a GET request with extra header lines, for connections with several requests.
+func pipelinedRequest(id, extraHeaders string) string {
+	return "GET /api HTTP/1.1\r\nHost: a\r\nX-Request-Id: " + id + "\r\nX-Class: read\r\nX-Tenant: t\r\nX-Deadline-Ms: 2000\r\n" + extraHeaders + "\r\n"
 }
 
-// A request that is pipelined behind another loses part of its deadline while it waits. The server must be sent the rest.
+// A request that is pipelined behind another uses up part of its deadline while it waits. The server must be sent the
+// remaining time.
 func TestPipelinedRequestForwardsRemainingDeadline(t *testing.T) {
-	const firstTook = 100 * time.Millisecond // the server's time for the first request
+	const firstDuration = 100 * time.Millisecond // the server's processing time of the first request
 	deadlines := make(chan int, 2)
 	addr := startHTTPServer(t, func(_ http.ResponseWriter, r *http.Request) {
 		ms, _ := strconv.Atoi(r.Header.Get("X-Deadline-Ms"))
 		if deadlines <- ms; r.Header.Get("X-Request-Id") == "r1" {
-			<-time.After(firstTook)
+			<-time.After(firstDuration)
 		}
 	})
 	node, _ := startNode(t, testConfig(t, memberListJSON(addr)))
@@ -45,7 +46,7 @@
 		}
 	}
 	receive(t, "the first request", deadlines)
-	remaining := (2*time.Second - firstTook).Milliseconds()
+	remaining := (2*time.Second - firstDuration).Milliseconds()
 	if ms := receive(t, "the second request", deadlines); int64(ms) > remaining {
 		t.Errorf("the server is sent a deadline of %d ms for the second request, of which %d are left", ms, remaining)
 	}
@@ -61,7 +62,7 @@
 				got <- r.Header.Get("X-Request-Id")
 				<-proceed
 			})
-			node, all := startLoopAndListener(t, addr)
+			node, listener := startLoopAndListener(t, addr)
 			dialled, err := net.Dial("tcp", node)
 			if err != nil {
 				t.Fatal(err)
@@ -79,7 +80,7 @@
 			_, _ = io.WriteString(dialled, flood.String())
 			dialled.Close()
 			close(proceed)
-			await(t, "the end of the connection", func() bool { return all.openCount() == 0 })
+			await(t, "the end of the connection", func() bool { return listener.openCount() == 0 })
 			if len(got) > 0 {
 				t.Errorf("%d more attempts, the first is %s", len(got), <-got)
 			}
@@ -88,7 +89,7 @@
 }
 
 // startLoopAndListener runs a loop that knows the server at addr, and a listener for its clients.
-func startLoopAndListener(t *testing.T, addr string) (node string, all *clientListener) {
+func startLoopAndListener(t *testing.T, addr string) (node string, listener *clientListener) {
 	t.Helper()
 	l, err := newLoop(testConfig(t, memberListJSON(addr)), clock{start: time.Now()}, testUpstream(t, addr))
 	if err != nil {
@@ -98,8 +99,8 @@
 	return serveClients(t, l)
 }
 
-// A connection whose client stops in the first bytes of a further request is closed as soon as in a first request, and not
-// only after clientIdleTimeout as if it had no request.
+// A connection whose client stops sending within a further request is closed as early as within a first request, and not only
+// after clientIdleTimeout as an idle connection is.
 func TestPartialFurtherRequestTimesOut(t *testing.T) {
 	addr := startHTTPServer(t, func(http.ResponseWriter, *http.Request) {})
 	node, _ := startNode(t, testConfig(t, memberListJSON(addr)))
@@ -147,7 +148,7 @@
 	}
 }
 
-// A request behind a chunked one is answered as any other, though it may have been read together with it.
+// A request behind a chunked one is answered as any other, even if both were read together.
 func TestRequestsBehindChunkedRequestAreAnswered(t *testing.T) {
 	addr := startHTTPServer(t, func(w http.ResponseWriter, r *http.Request) {
 		body, _ := io.ReadAll(r.Body)
@@ -182,14 +183,14 @@
 			}
 			body, err := io.ReadAll(resp.Body)
 			if want = fmt.Sprintf("p%d-r%d got %s", pieces, i+1, want); string(body) != want || err != nil || resp.Close {
-				t.Fatalf("%d pieces, answer %d: %d %q, %v, the connection ends %v; want %q", pieces, i+1, resp.StatusCode, body, err, resp.Close, want)
+				t.Fatalf("%d pieces, answer %d: %d %q, %v, Connection: close %v; want %q", pieces, i+1, resp.StatusCode, body, err, resp.Close, want)
 			}
 		}
 	}
 }
 
-// A chunk's line that fills net/http's buffer up to its last byte but one is handled as any overlong line: with an error
-// response or a close in time.
+// A chunk-size line that fills net/http's buffer except for its last byte is handled as any overlong line: with an error
+// response, or by closing the connection in time.
 func TestOverlongChunkLinesAreRejected(t *testing.T) {
 	addr := startHTTPServer(t, func(http.ResponseWriter, *http.Request) { t.Error("the request reached a server") })
 	node, _ := startNode(t, testConfig(t, memberListJSON(addr)))
--- a/internal/node/rules_test.go
+++ b/internal/node/rules_test.go
@@ -8,8 +8,8 @@
 	"cobaltward/policy"
 )
 
-// An action of the module that violates an invariant is not performed: it is counted, and the module is told that no
-// attempt was made.
+// An action of the decision module that violates an invariant is not performed: it is counted, and the module is notified
+// that no attempt was made.
 func TestForbiddenModuleActionsAreNotPerformed(t *testing.T) {
 	received := make(chan string, 10)
 	addr := startHTTPServer(t, func(w http.ResponseWriter, r *http.Request) {
@@ -32,7 +32,7 @@
 	x.arrivedAt = l.clock.now()
 	l.send(arrival{x})
 	if a := receive(t, "the answer", x.reply); a.status != http.StatusBadGateway {
-		t.Errorf("answered %d, want a failure that promises nothing", a.status)
+		t.Errorf("answered %d, want 502, which doesn't guarantee that nothing ran", a.status)
 	}
 	if l.monitor.Denied(invariant.UnsafeRepeat) != 1 || l.monitor.Denied(invariant.RefusedAfterEffect) != 1 {
 		denied, _ := l.monitor.Counts()
--- a/internal/node/scale_test.go
+++ b/internal/node/scale_test.go
@@ -206,7 +206,7 @@
 	}
 }
 
-// largeSiteLoop returns a loop of one of so many nodes. It isn't run.
+// largeSiteLoop returns the loop of one node of a site with the given number of nodes. The loop isn't run.
 func largeSiteLoop(tb testing.TB, nodes int) *loop {
 	tb.Helper()
 	c, err := ParseConfig([]byte(fmt.Sprintf(`{"name":"n0","listen":"127.0.0.1:0","discovery":"127.0.0.1:9","seed":"1f",
--- a/internal/node/server_test.go
+++ b/internal/node/server_test.go
@@ -39,8 +39,8 @@
 	}
 }
 
-// An invalid request is refused with a client error, not with a status that promises that nothing ran, and reaches no
-// server.
+// An invalid request is refused with a client error, not with a status that guarantees that it has not run, and reaches
+// no server.
 func TestBadRequestsReachNoServer(t *testing.T) {
 	var reached atomic.Int32
 	addr := startHTTPServer(t, func(http.ResponseWriter, *http.Request) { reached.Add(1) })
@@ -109,7 +109,7 @@
 	t.Error("a tenant with a tiny share was never refused")
 }
 
-// An unsafe request that may have run is neither sent again nor refused with a status that promises that it has not run.
+// An unsafe request that may have run is neither sent again nor refused with a status that guarantees that it has not run.
 func TestUnsafeRequestThatMayHaveRunFails(t *testing.T) {
 	var reached atomic.Int32
 	addr := startTCPServer(t, func(_ net.Conn, r *bufio.Reader) {
@@ -120,14 +120,14 @@
 	node, _ := startNode(t, testConfig(t, memberListJSON(addr, addr)))
 	resp, _ := doRequest(t, newRequest(t, node, "POST", "pay", "r1", "sum"))
 	if s := resp.StatusCode; s < 400 || s == http.StatusTooManyRequests || s == http.StatusServiceUnavailable {
-		t.Errorf("status %d, want a failure that promises nothing", s)
+		t.Errorf("status %d, want an error other than 429 and 503, which guarantee that nothing ran", s)
 	}
 	if n := reached.Load(); n != 1 {
 		t.Errorf("sent %d times", n)
 	}
 }
 
-// The module is told that a client has disconnected, and can cancel its attempts.
+// The decision module is notified when a client disconnects, and can cancel the attempts of the client's request.
 func TestClientDisconnectIsReported(t *testing.T) {
 	received, closed := make(chan struct{}), make(chan struct{})
 	addr := startHTTPServer(t, func(_ http.ResponseWriter, r *http.Request) {
@@ -210,7 +210,7 @@
 	}
 	_ = idle[0].SetReadDeadline(time.Now().Add(headerTimeout / 2))
 	if _, err := idle[0].Read(make([]byte, 1)); err == nil || errors.Is(err, os.ErrDeadlineExceeded) {
-		t.Errorf("the connection idle for longest is still open: %v", err)
+		t.Errorf("the connection that has been idle for longest is still open: %v", err)
 	}
 	close(hold)
 	if status := receive(t, "the slow response", slow); status != 200 {
@@ -287,7 +287,7 @@
 	}
 }
 
-// A node that is told to stop accepts connections for a while longer, answers all open requests, and ends.
+// A stopping node accepts connections for a while longer, answers all open requests, and exits.
 func TestGracefulShutdown(t *testing.T) {
 	hold, held := make(chan struct{}), make(chan struct{}, 2)
 	addr := startHTTPServer(t, func(_ http.ResponseWriter, r *http.Request) {
@@ -335,18 +335,18 @@
 		return err != nil
 	})
 	if took := time.Since(began); took < 400*time.Millisecond {
-		t.Errorf("accepted for %v only, but clients still connect after that", took)
+		t.Errorf("stopped accepting after %v, but clients still connect for 400ms at least", took)
 	}
 	select {
 	case err := <-ended:
-		t.Fatalf("ended with a request open: %v", err)
+		t.Fatalf("the node exited with a request open: %v", err)
 	default:
 	}
 	close(hold)
 	if status := receive(t, "the slow response", slow); status != 200 {
 		t.Errorf("status %d", status)
 	}
-	if err := receive(t, "the end", ended); err != nil {
+	if err := receive(t, "the node to stop", ended); err != nil {
 		t.Error(err)
 	}
 }
--- a/internal/node/testing_test.go
+++ b/internal/node/testing_test.go
@@ -40,7 +40,7 @@
 	return c
 }
 
-// memberListJSON returns a complete member list in JSON: one server per address, with the ids s0, s1 and so on.
+// memberListJSON returns a full member list in JSON: one server per address, with the ids s0, s1 and so on.
 func memberListJSON(addrs ...string) string {
 	var entries []string
 	for i, addr := range addrs {
--- a/internal/node/trace_test.go
+++ b/internal/node/trace_test.go
@@ -20,9 +20,9 @@
 func captureLog(t *testing.T) *bytes.Buffer {
 	t.Helper()
 	var b bytes.Buffer
-	was := slog.Default()
+	previous := slog.Default()
 	slog.SetDefault(slog.New(slog.NewTextHandler(&b, nil)))
-	t.Cleanup(func() { slog.SetDefault(was) })
+	t.Cleanup(func() { slog.SetDefault(previous) })
 	return &b
 }
 
@@ -103,7 +103,7 @@
 	}
 }
 
-// With many servers, a summary has those with failures and those with the most attempts, and the number of the others.
+// With many servers, a summary lists those with failures and those with the most attempts, and counts the others.
 func TestSummaryOfManyServersIsBounded(t *testing.T) {
 	requests := requestLog{metrics: newMetrics()}
 	requests.servers = make(map[string]*serverStats)
--- a/internal/node/upstream_test.go
+++ b/internal/node/upstream_test.go
@@ -28,13 +28,13 @@
 	return u
 }
 
-// runAttempt makes one attempt at server s0 and waits for its result.
+// runAttempt sends one attempt to server s0 and waits for its result.
 func runAttempt(t *testing.T, u *upstream, x *clientRequest) attemptResult {
 	t.Helper()
 	return runAttemptOn(t.Context(), u, "s0", x, time.Now().Add(testTimeout))
 }
 
-// runAttemptOn makes one attempt at a server and reads its complete response. If the response is truncated, the attempt
+// runAttemptOn sends one attempt to a server and reads its complete response. If the response is truncated, the attempt
 // has failed.
 func runAttemptOn(ctx context.Context, u *upstream, serverID string, x *clientRequest, deadline time.Time) (r attemptResult) {
 	u.sendAttempt(ctx, serverID, x, attemptParams{deadline: deadline, requestCtx: context.Background(), onUploaded: func(time.Duration) {}, onEnd: func(e attemptResult) {
@@ -62,7 +62,8 @@
 	return u.openConns, idle
 }
 
-// Only a 503 or 504 with X-Not-Run, and a request whose last byte was never written, is certain not to have run.
+// A request is certain not to have run only if the server answered 503 or 504 with X-Not-Run, or if the last byte of the
+// request was never written.
 func TestAttemptOutcomes(t *testing.T) {
 	big := fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n", maxBodySize+1)
 	const good = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"
@@ -130,8 +131,8 @@
 	}
 }
 
-// A request whose reused connection breaks must not be sent again without a decision of the module. http.Transport would
-// retry both of these on its own.
+// A request whose reused connection breaks must not be sent again unless the decision module requests it. http.Transport
+// would retry both the GET and the POST on its own.
 func TestRequestOnBrokenReusedConnectionIsNotRetried(t *testing.T) {
 	for _, method := range []string{http.MethodGet, http.MethodPost} {
 		var requests, conns atomic.Int32
@@ -350,10 +351,11 @@
 	}
 }
 
-// Bytes behind a response, whether they arrive at once or later, belong to no request: the connection is not used again.
+// Bytes after the end of a response, whether they arrive at once or later, belong to no request: the connection is not
+// used again.
 func TestUnsolicitedBytesRetireConnection(t *testing.T) {
 	const response = "HTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\n"
-	for _, surplus := range []string{response + "x", "noise"} {
+	for _, unsolicited := range []string{response + "x", "noise"} {
 		release, conns := make(chan struct{}), atomic.Int32{}
 		addr := startTCPServer(t, func(c net.Conn, r *bufio.Reader) {
 			number := conns.Add(1)
@@ -361,7 +363,7 @@
 				_, _ = fmt.Fprint(c, response, number)
 				if number == 1 {
 					<-release
-					_, _ = io.WriteString(c, surplus)
+					_, _ = io.WriteString(c, unsolicited)
 				}
 			}
 		})
@@ -377,10 +379,10 @@
 		})
 		time.Sleep(2 * reuseDelay)
 		if r := runAttempt(t, u, testClientRequest(http.MethodGet, "r2", "")); string(r.answer.body) != "2" {
-			t.Errorf("surplus %q: response %q, code %v", surplus, r.answer.body, r.code)
+			t.Errorf("unsolicited %q: response %q, code %v", unsolicited, r.answer.body, r.code)
 		}
 		if open, idle := u.connCounts("s0"); open != 1 || idle != 1 {
-			t.Errorf("surplus %q: %d open, %d idle", surplus, open, idle)
+			t.Errorf("unsolicited %q: %d open, %d idle", unsolicited, open, idle)
 		}
 	}
 }
@@ -416,7 +418,7 @@
 	u.applyNewestList(discovery.Update{Kind: policy.ListUpdate, Members: []discovery.Member{newer}})
 	outdated := testMembers(t, addr)[0]
 	outdated.Availability = policy.Draining
-	u.applyNewestList(discovery.Update{Kind: policy.ListUpdate, Members: []discovery.Member{outdated}}) // about the old server, and late
+	u.applyNewestList(discovery.Update{Kind: policy.ListUpdate, Members: []discovery.Member{outdated}}) // a late update about the old server
 	if r := runAttempt(t, u, testClientRequest(http.MethodGet, "r1", "")); r.code != policy.ConnectFailed {
 		t.Errorf("to the old server: code %v", r.code)
 	}
@@ -497,7 +499,7 @@
 }
 
 // A connection reset never counts as the regular end of a response: neither within its head, nor for a response without a
-// length, nor behind bytes that would make a complete response. The attempt may have run, and its connection is not used
+// length, nor after bytes that would make a complete response. The attempt may have run, and its connection is not used
 // again.
 func TestResetDoesNotEndResponse(t *testing.T) {
 	for _, partial := range []string{"", "HTT", "HTTP/1.1 2", "HTTP/1.1 200 OK\r\nContent-Le", "HTTP/1.1 200 OK\r\n\r\n",
@@ -513,15 +515,15 @@
 		result := make(chan attemptResult, 1)
 		go func() { result <- runAttempt(t, u, testClientRequest(http.MethodGet, "r1", "")) }()
 		if r := receive(t, "the outcome", result); r.code != policy.Reset && r.code != policy.ServerError {
-			t.Errorf("%.40q: code %v, want one that fails and may have run", partial, r.code)
+			t.Errorf("%.40q: code %v, want one of a failure that may have run", partial, r.code)
 		}
 		await(t, "the end of the connection", func() bool { open, _ := u.connCounts("s0"); return open == 0 })
 	}
 }
 
-// A duplicate response may arrive some milliseconds after the first one, and would be taken for that of the next request.
-// So a connection that has been idle for long is preferred to a recently used one, that one to a new connection, and a
-// connection that delivered a response a moment ago is not used at all.
+// A duplicate response may arrive some milliseconds after the first one, and would be taken for the response to the next
+// request. So a connection that has been idle for long is preferred to a recently used one, a recently used one to a new
+// one, and a connection that delivered a response a moment ago is not used at all.
 func TestReuseDelayAfterResponse(t *testing.T) {
 	now := time.Now()
 	for _, c := range []struct {
@@ -545,8 +547,8 @@
 	}
 }
 
-// A dial that fails for a temporary lack of local resources is not counted against the server: it is retried, and if the
-// lack persists, the attempt is reported as not sent.
+// A dial that fails for a temporary shortage of local resources is not counted against the server: it is retried, and if
+// the shortage persists, the attempt is reported as not sent.
 func TestLocalResourceShortageIsNotServerFault(t *testing.T) {
 	addr := startHTTPServer(t, func(http.ResponseWriter, *http.Request) {})
 	for _, code := range []syscall.Errno{syscall.ENOBUFS, syscall.ENOMEM, syscall.EAGAIN, syscall.EADDRNOTAVAIL, syscall.ENETUNREACH,
@@ -575,14 +577,14 @@
 }
 
 // A server that sent an unsolicited response may send another one, some time after the regular one. Its connections stay
-// unused for longer, or the stray response would be taken for that of the next request.
+// unused for longer, or the unsolicited response would be taken for the response to the next request.
 func TestReuseDelayAfterUnsolicitedBytes(t *testing.T) {
 	var accepted atomic.Int32
 	addr := startTCPServer(t, func(c net.Conn, in *bufio.Reader) {
-		sendStray := accepted.Add(1) == 1
+		sendUnsolicited := accepted.Add(1) == 1
 		for discardRequest(in) {
 			_, _ = io.WriteString(c, "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")
-			if sendStray {
+			if sendUnsolicited {
 				_, _ = io.WriteString(c, "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")
 			}
 		}
@@ -601,8 +603,8 @@
 			c.lastUsed = time.Now().Add(-d)
 		}
 	}
-	request("r1") // the stray response follows, at once or later
-	await(t, "the stray response to be noticed", func() bool {
+	request("r1") // the unsolicited response follows, at once or later
+	await(t, "the unsolicited response to be noticed", func() bool {
 		u.sweep(time.Now())
 		_, idle := u.connCounts("s0")
 		return idle == 0
--- a/internal/syserr/syserr_test.go
+++ b/internal/syserr/syserr_test.go
@@ -50,10 +50,10 @@
 			tries int
 			fails bool
 		}{
-			"at once":        {nil, 1, false},
-			"passing":        {[]error{syscall.EMFILE, syscall.EINTR}, 3, false},
-			"one that lasts": {[]error{syscall.EMFILE, syscall.EADDRINUSE, nil}, 2, true},
-			"too long":       {slices.Repeat([]error{syscall.EMFILE}, 1000), 12, true},
+			"no error":                            {nil, 1, false},
+			"retryable errors":                    {[]error{syscall.EMFILE, syscall.EINTR}, 3, false},
+			"error that is not retryable":         {[]error{syscall.EMFILE, syscall.EADDRINUSE, nil}, 2, true},
+			"retryable errors beyond the timeout": {slices.Repeat([]error{syscall.EMFILE}, 1000), 12, true},
 		} {
 			tries := 0
 			err := Retry(t.Context(), time.Second, Backoff{Initial: 100 * time.Millisecond, Max: 100 * time.Millisecond}, func() error {
--- a/policy/cold_test.go
+++ b/policy/cold_test.go
@@ -15,7 +15,7 @@
 	rng           *rand.Rand
 	nodes         []*Balancer
 	now           time.Duration
-	events        simEventHeap
+	tasks         simTaskHeap
 	coldSendTimes []time.Duration // times of the sends to the cold server
 	warmSends     int             // number of sends to the warm servers
 	requestCount  int
@@ -24,18 +24,18 @@
 	coldFails     bool    // the cold server fails all its requests
 }
 
-type simEvent struct {
-	at time.Duration
-	do func()
+type simTask struct {
+	dueAt time.Duration
+	run   func()
 }
 
-type simEventHeap []simEvent
+type simTaskHeap []simTask
 
-func (q simEventHeap) Len() int           { return len(q) }
-func (q simEventHeap) Less(i, j int) bool { return q[i].at < q[j].at }
-func (q simEventHeap) Swap(i, j int)      { q[i], q[j] = q[j], q[i] }
-func (q *simEventHeap) Push(x any)        { *q = append(*q, x.(simEvent)) }
-func (q *simEventHeap) Pop() any {
+func (q simTaskHeap) Len() int           { return len(q) }
+func (q simTaskHeap) Less(i, j int) bool { return q[i].dueAt < q[j].dueAt }
+func (q simTaskHeap) Swap(i, j int)      { q[i], q[j] = q[j], q[i] }
+func (q *simTaskHeap) Push(x any)        { *q = append(*q, x.(simTask)) }
+func (q *simTaskHeap) Pop() any {
 	last := len(*q) - 1
 	x := (*q)[last]
 	*q = (*q)[:last]
@@ -43,28 +43,28 @@
 }
 
 func (s *coldServerSim) schedule(delay time.Duration, do func()) {
-	heap.Push(&s.events, simEvent{s.now + delay, do})
+	heap.Push(&s.tasks, simTask{s.now + delay, do})
 }
 
-// run plays the events that are due until the given time.
+// run runs the tasks that are due until the given time.
 func (s *coldServerSim) run(until time.Duration) {
-	for len(s.events) > 0 && s.events[0].at <= until {
-		e := heap.Pop(&s.events).(simEvent)
-		s.now = e.at
-		e.do()
+	for len(s.tasks) > 0 && s.tasks[0].dueAt <= until {
+		next := heap.Pop(&s.tasks).(simTask)
+		s.now = next.dueAt
+		next.run()
 	}
 	s.now = until
 }
 
 const coldServerID = "s99"
 
-// handle passes an event to one process of a node and plays the resulting actions. A replaced process gets no
-// new requests.
-func (s *coldServerSim) handle(b *Balancer, ev Event) {
+// deliver passes an event to one process of a node and carries out the resulting actions. A replaced process gets
+// no new requests, but still its outcomes and timers.
+func (s *coldServerSim) deliver(b *Balancer, ev Event) {
 	for _, a := range append([]Action(nil), b.Handle(s.now, ev)...) {
 		switch a.Kind {
 		case SetTimer:
-			s.schedule(a.Wait, func() { s.handle(b, Timer{Token: a.Token}) })
+			s.schedule(a.Wait, func() { s.deliver(b, Timer{Token: a.Token}) })
 		case Send:
 			if a.Server == coldServerID {
 				s.coldSendTimes = append(s.coldSendTimes, s.now)
@@ -81,7 +81,7 @@
 				if a.Server == coldServerID && s.coldFails {
 					result.Code, result.Ended = ServerError, false
 				}
-				s.handle(b, result)
+				s.deliver(b, result)
 			})
 		}
 	}
@@ -100,8 +100,8 @@
 	return set.OverloadMultiple * sum * s.capacity * set.OverloadFor.Seconds()
 }
 
-// withRandomMargin returns the limit that the operators' terms set on the requests to a cold server in a
-// window in which the settings allow that many: a margin for random variation is added.
+// withRandomMargin returns the operators' limit on the requests to a cold server in a window: the number that
+// the settings allow, plus a margin for random variation.
 func withRandomMargin(allowed float64) float64 {
 	if allowed < 30 {
 		return allowed + 3*math.Sqrt(allowed) + 3
@@ -110,10 +110,11 @@
 }
 
 // In every window of OverloadFor, all nodes together send a cold server no more than N + 2 sqrt(N) + 2
-// requests, or N + 3 sqrt(N) + 3 for N under 30, where N is what the settings allow it then. This holds for
-// any number of nodes and uneven traffic, whether nodes learn of the server at once or one after another,
-// restart with fresh budgets, run two processes each for a while, or send trials after the server failed. In
-// the undisturbed case the server must also get a useful number of requests.
+// requests, or N + 3 sqrt(N) + 3 for N under 30, where N is what the settings allow in that window. This holds
+// for any number of nodes and uneven traffic, whether nodes learn of the server at once or one after another,
+// restart with fresh budgets, run two processes each for a while, receive no requests for a while, or send
+// trials after the server failed. In the undisturbed scenario, "", the server must also get a useful number of
+// requests.
 func TestColdServerLoadFromAllNodes(t *testing.T) {
 	for _, rate := range []float64{40, 6} { // capacity of each server, in requests a second
 		t.Run(fmt.Sprint(rate), func(t *testing.T) { testColdServerLoad(t, rate) })
@@ -138,7 +139,7 @@
 							set.Report, set.Tenants = []string{"util", "qps"}, nil
 							sim := &coldServerSim{settings: set, rng: rand.New(rand.NewPCG(seed, uint64(nodes))), loadReports: reports,
 								capacity: capacity, coldFails: scenario == "fails", now: time.Minute}
-							const started, ends = 63 * time.Second, 87 * time.Second // it is warm at the end
+							const started, ends = 63 * time.Second, 87 * time.Second // the cold server is warm at the end
 							newProcess := func(i int, list []Member) *Balancer {
 								set := sim.settings
 								set.Node = i
@@ -146,7 +147,7 @@
 								if err != nil {
 									t.Fatal(err)
 								}
-								sim.handle(b, MemberList{Kind: ListRestored, Members: list})
+								sim.deliver(b, MemberList{Kind: ListRestored, Members: list})
 								return b
 							}
 							warmMembers := membersWithCold(1)[:warmServers]
@@ -166,7 +167,7 @@
 									sim.requestCount++
 									lull := scenario == "a lull" && sim.now > started && sim.now < started+8*time.Second
 									if !lull {
-										sim.handle(sim.nodes[i], Request{ID: fmt.Sprint(sim.requestCount), Class: "free", Tenant: "t", ExpiresIn: time.Second})
+										sim.deliver(sim.nodes[i], Request{ID: fmt.Sprint(sim.requestCount), Class: "free", Tenant: "t", ExpiresIn: time.Second})
 									}
 									sim.schedule(time.Duration(sim.rng.ExpFloat64()/mean*float64(time.Second)), arrive)
 								}
@@ -176,7 +177,7 @@
 									listDelay += time.Duration(sim.rng.Float64() * float64(6*time.Second))
 								}
 								sim.schedule(listDelay, func() {
-									sim.handle(sim.nodes[i], MemberList{Kind: ListUpdate, Members: membersWithCold(started)[warmServers:]})
+									sim.deliver(sim.nodes[i], MemberList{Kind: ListUpdate, Members: membersWithCold(started)[warmServers:]})
 								})
 								switch scenario {
 								case "restarts": // of each node, twice, without its earlier state
@@ -188,20 +189,20 @@
 								case "two processes":
 									sim.schedule(listDelay+2*time.Second, func() {
 										oldProcess := sim.nodes[i]
-										sim.handle(oldProcess, ProcessCount{N: 2})
+										sim.deliver(oldProcess, ProcessCount{N: 2})
 										successor, err := New(oldProcess.settings, sim.now, sim.rng.Uint64())
 										if err != nil {
 											t.Fatal(err)
 										}
 										successor.Restore(sim.now, oldProcess.Snapshot(sim.now), 0)
-										sim.handle(successor, ProcessCount{N: 2})
-										sim.handle(successor, MemberList{Kind: ListRestored, Members: membersWithCold(started)})
-										turns := 0 // clients reach both processes for a while
+										sim.deliver(successor, ProcessCount{N: 2})
+										sim.deliver(successor, MemberList{Kind: ListRestored, Members: membersWithCold(started)})
+										turns := 0 // new requests reach the two processes in turn for a while
 										sim.nodes[i] = successor
 										var alternate func()
 										alternate = func() {
 											if turns++; turns > 100 {
-												sim.handle(successor, ProcessCount{N: 1})
+												sim.deliver(successor, ProcessCount{N: 1})
 												sim.nodes[i] = successor
 												return
 											}
--- a/policy/golden_test.go
+++ b/policy/golden_test.go
@@ -324,14 +324,14 @@
 // fullLogLine returns what Balancer.String returned at commit 6253ebd: the same line, but with all servers, however
 // many there are.
 func fullLogLine(b *Balancer) string {
-	var t strings.Builder
-	fmt.Fprintf(&t, "pace=%.2f bad=%.2f full=%.2f lost=%.2f blame=%.2f held=%d extra=%d", b.pace, b.badFraction,
+	var line strings.Builder
+	fmt.Fprintf(&line, "pace=%.2f bad=%.2f full=%.2f lost=%.2f blame=%.2f held=%d extra=%d", b.pace, b.badFraction,
 		b.fullFraction, b.timeoutFraction, b.faultWeight, b.queue.len(), len(b.recentExtra))
 	for _, s := range b.packingOrder() {
-		fmt.Fprintf(&t, " %s=%d/%.1f", s.Server, s.inFlight, b.scaledThreshold(s))
+		fmt.Fprintf(&line, " %s=%d/%.1f", s.Server, s.inFlight, b.scaledThreshold(s))
 		if s.health.ejected {
-			t.WriteString("/out")
+			line.WriteString("/out")
 		}
 	}
-	return t.String()
+	return line.String()
 }
--- a/policy/index_test.go
+++ b/policy/index_test.go
@@ -143,7 +143,8 @@
 	t.Log(covered)
 }
 
-// linearPick is pick by linear scans of all servers. It uses the budgets of cold servers as of their last refill.
+// linearPick returns what pick should return, by linear scans of all servers. It uses the budgets of cold servers as of
+// their last refill.
 func (b *Balancer) linearPick(r *request) (*server, bool) {
 	usable := func(s *server) bool {
 		return !s.health.ejected && b.maySendTo(r, s) && (b.rampFraction(s) >= 1 || s.cold.tokens >= 1)
@@ -194,7 +195,7 @@
 func checkChoices(t *testing.T, b *Balancer, covered map[string]int) {
 	t.Helper()
 	order := b.packingOrder()
-	if len(order) == 0 || b.serversShared() { // with scaled thresholds, the indexed send intervals are only corrected round-robin
+	if len(order) == 0 || b.serversShared() { // with a shared threshold scale, the indexed send intervals are only brought up to date round-robin
 		return
 	}
 	for i, c := range append(b.classList, &class{index: -1, eligible: &b.fleet}) {
@@ -265,11 +266,11 @@
 		for maxKey := range 10 {
 			var want, least *server
 			for _, id := range ids {
-				at := p.serving.keysOf(id)[key]
-				if want == nil && at <= float64(maxKey) {
+				value := p.serving.keysOf(id)[key]
+				if want == nil && value <= float64(maxKey) {
 					want = all[id]
 				}
-				if at < absent && (least == nil || at < p.serving.keysOf(least.Server)[key]) {
+				if value < absent && (least == nil || value < p.serving.keysOf(least.Server)[key]) {
 					least = all[id]
 				}
 			}
@@ -309,13 +310,13 @@
 		all = append(all, &server{Member: Member{Server: id}, hash: hash(id)})
 		trie.insert(all[i])
 	}
-	homes := func() (homes [keys][keyCandidates]*server) {
-		for k := range homes {
-			homes[k] = trie.candidates(mixHash(uint64(k)))
+	candidatesByKey := func() (candidates [keys][keyCandidates]*server) {
+		for k := range candidates {
+			candidates[k] = trie.candidates(mixHash(uint64(k)))
 		}
-		return homes
+		return candidates
 	}
-	before := homes()
+	before := candidatesByKey()
 	load := map[*server]int{}
 	for k, h := range before {
 		load[h[0]]++
@@ -331,7 +332,7 @@
 	removed := all[37]
 	trie.remove(removed)
 	moved := 0
-	for k, h := range homes() {
+	for k, h := range candidatesByKey() {
 		switch {
 		case before[k][0] == removed && h[0] != before[k][1]:
 			t.Errorf("key %d: its first candidate left and %v took over, want the second candidate %v", k, h[0], before[k][1])
@@ -344,7 +345,7 @@
 	}
 	t.Logf("%d of %d keys moved in addition to the %d of the server that left", moved, keys, load[removed])
 	trie.insert(removed)
-	if homes() != before {
+	if candidatesByKey() != before {
 		t.Error("a server that rejoined did not get its keys back")
 	}
 }
--- a/policy/overload_test.go
+++ b/policy/overload_test.go
@@ -33,13 +33,14 @@
 		100*o.coldFraction, 100*o.ejectedFraction, o.code, o.warmKeys, o.queued)
 }
 
-// visitStats counts the entries that events visited; maxPerRequest is for each request that the event sent or ended.
+// visitStats counts the entries that events visited. maxPerRequest is the most entries that one event visited for each
+// request that it sent, refused or failed.
 type visitStats struct{ events, visits, maxPerRequest int }
 
-func (w *visitStats) add(visits, actions int) {
+func (w *visitStats) add(visits, requests int) {
 	w.events++
 	w.visits += visits
-	w.maxPerRequest = max(w.maxPerRequest, visits/max(1, actions))
+	w.maxPerRequest = max(w.maxPerRequest, visits/max(1, requests))
 }
 
 func (w visitStats) mean() float64 { return float64(w.visits) / float64(max(1, w.events)) }
@@ -98,10 +99,10 @@
 func (r *overloadRun) deliver(kind string, ev Event) {
 	before := *r.balancer.visits
 	actions := slices.Clone(r.balancer.Handle(r.now, ev))
-	done := 0
+	requests := 0
 	for _, a := range actions {
 		if a.Kind == Send || a.Kind == Refuse || a.Kind == Fail {
-			done++
+			requests++
 		}
 	}
 	if slices.ContainsFunc(actions, func(a Action) bool { return a.Kind == Send }) {
@@ -110,7 +111,7 @@
 	if r.statsByEvent[kind] == nil {
 		r.statsByEvent[kind] = new(visitStats)
 	}
-	r.statsByEvent[kind].add(*r.balancer.visits-before, done)
+	r.statsByEvent[kind].add(*r.balancer.visits-before, requests)
 	for _, a := range actions {
 		switch a.Kind {
 		case SetTimer:
@@ -168,7 +169,7 @@
 }
 
 // simulate fills the queue, then sends 300 requests, 2 ms apart, and changes an entry of the list with every tenth. It
-// returns the visits of the latter part.
+// returns the visits since the queue was filled.
 func (r *overloadRun) simulate() map[string]*visitStats {
 	n := 0
 	for n < r.queued || r.queued > 0 && r.balancer.queue.len() < r.queued {
@@ -253,7 +254,7 @@
 	}
 }
 
-// When many slow starts end at the same moment, as after the loss of a zone, their servers are re-evaluated over several
+// When many slow starts end at the same moment, as after the loss of a zone, their servers are reevaluated over several
 // events, and none is missed.
 func TestSimultaneousSlowStartEndsAreSpreadOverEvents(t *testing.T) {
 	maxVisits := func(servers int) (worst int) {
--- a/policy/random_test.go
+++ b/policy/random_test.go
@@ -116,14 +116,14 @@
 }
 
 func (w *randomRun) perform(a Action) {
-	p := w.requests[a.ID]
+	req := w.requests[a.ID]
 	switch a.Kind {
 	case Send:
-		w.handleSend(p, a)
+		w.handleSend(req, a)
 	case Refuse, Fail:
-		w.handleAnswer(p, a)
+		w.handleAnswer(req, a)
 	case Cancel:
-		if !w.settings.Allowed.Cancel || a.Attempt >= len(p.attempts) {
+		if !w.settings.Allowed.Cancel || a.Attempt >= len(req.attempts) {
 			w.t.Errorf("cancel of an unknown attempt, or cancelling is not allowed: %+v", a)
 		}
 	case SetTimer:
@@ -146,7 +146,7 @@
 }
 
 // handleSend checks an attempt against the rules and schedules its outcome.
-func (w *randomRun) handleSend(p *trackedRequest, a Action) {
+func (w *randomRun) handleSend(req *trackedRequest, a Action) {
 	m, listed := w.listed[a.Server]
 	if since, ok := w.drainingSince[a.Server]; ok && w.now > since+w.settings.Rules.DrainGrace {
 		w.t.Errorf("%s has been draining or removed since %v, but gets an attempt at %v", a.Server, since, w.now)
@@ -154,41 +154,41 @@
 	if !listed && w.drainingSince[a.Server] == 0 {
 		w.t.Errorf("unknown server %q", a.Server)
 	}
-	if p == nil || p.ended || w.now >= p.deadline {
+	if req == nil || req.ended || w.now >= req.deadline {
 		w.t.Fatalf("attempt for a request that has ended or expired: %+v", a)
 	}
 	open := 0
-	for _, earlier := range p.attempts {
+	for _, earlier := range req.attempts {
 		if !earlier.ended {
 			open++
 		}
 		if earlier.notRun {
 			continue
 		}
-		switch p.class.Repeat {
+		switch req.class.Repeat {
 		case Never:
-			w.t.Errorf("%s sent again though it may have run", p.class.Name)
+			w.t.Errorf("%s sent again though it may have run", req.class.Name)
 		case Guarded:
-			g := p.class.Group
-			if w.now > earlier.sent+p.class.Window || g == GroupZone && m.Zone != earlier.server.Zone ||
-				g == GroupCell && m.Cell != earlier.server.Cell {
-				w.t.Errorf("%s sent again outside its group or window", p.class.Name)
+			group := req.class.Group
+			if w.now > earlier.sent+req.class.Window || group == GroupZone && m.Zone != earlier.server.Zone ||
+				group == GroupCell && m.Cell != earlier.server.Cell {
+				w.t.Errorf("%s sent again outside its group or window", req.class.Name)
 			}
 		}
 	}
-	if open > 0 && !w.settings.Allowed.Hedge || len(p.attempts) >= w.settings.Allowed.MaxAttempts {
+	if open > 0 && !w.settings.Allowed.Hedge || len(req.attempts) >= w.settings.Allowed.MaxAttempts {
 		w.t.Errorf("a hedge that is not allowed, or too many attempts: %+v", a)
 	}
-	if c := p.class; len(c.Kinds) > 0 && !slices.Contains(c.Kinds, m.Kind) ||
+	if c := req.class; len(c.Kinds) > 0 && !slices.Contains(c.Kinds, m.Kind) ||
 		len(c.Zones) > 0 && !slices.Contains(c.Zones, m.Zone) {
 		w.t.Errorf("%s sent to %s of kind %s in zone %s", c.Name, a.Server, m.Kind, m.Zone)
 	}
-	if len(p.attempts) > 0 {
+	if len(req.attempts) > 0 {
 		w.checkAttemptBudget()
 	}
-	n := len(p.attempts)
-	p.attempts = append(p.attempts, trackedAttempt{server: m, sent: w.now})
-	until := p.deadline
+	n := len(req.attempts)
+	req.attempts = append(req.attempts, trackedAttempt{server: m, sent: w.now})
+	until := req.deadline
 	if a.Until > 0 {
 		until = min(until, a.Until)
 	}
@@ -200,11 +200,11 @@
 		code, latency = TimedOut, until-w.now
 	}
 	w.schedule(latency, func() {
-		p.attempts[n].ended, p.attempts[n].notRun = true, code.NotRun()
+		req.attempts[n].ended, req.attempts[n].notRun = true, code.NotRun()
 		if code == OK {
-			p.ended = true
+			req.ended = true
 		}
-		ev := Outcome{ID: p.ID, Attempt: n, Server: a.Server, Code: code, Latency: latency, Ended: p.ended}
+		ev := Outcome{ID: req.ID, Attempt: n, Server: a.Server, Code: code, Latency: latency, Ended: req.ended}
 		w.deliver(ev)
 		if w.rng.IntN(20) == 0 {
 			w.deliver(ev) // a duplicate
@@ -215,33 +215,33 @@
 // checkAttemptBudget records an extra attempt and checks the attempt budget by its own count.
 func (w *randomRun) checkAttemptBudget() {
 	w.extraAttemptTimes = append(w.extraAttemptTimes, w.now)
-	q := w.settings.Rules.AttemptBudget
-	if q == nil {
+	budget := w.settings.Rules.AttemptBudget
+	if budget == nil {
 		return
 	}
 	within := func(times []Time) (n int) {
 		for _, at := range times {
-			if at > w.now-q.Span {
+			if at > w.now-budget.Span {
 				n++
 			}
 		}
 		return n
 	}
-	if n, maxExtra := within(w.extraAttemptTimes), q.MinExtra+q.ExtraShare*float64(within(w.requestTimes)); float64(n) > maxExtra {
-		w.t.Errorf("%d attempts beyond the first in %v, want at most %v", n, q.Span, maxExtra)
+	if n, maxExtra := within(w.extraAttemptTimes), budget.MinExtra+budget.ExtraShare*float64(within(w.requestTimes)); float64(n) > maxExtra {
+		w.t.Errorf("%d attempts beyond the first in %v, want at most %v", n, budget.Span, maxExtra)
 	}
 }
 
 // handleAnswer checks a final answer: there is only one, and a refusal only if a retry is safe.
-func (w *randomRun) handleAnswer(p *trackedRequest, a Action) {
-	if p == nil || p.ended {
+func (w *randomRun) handleAnswer(req *trackedRequest, a Action) {
+	if req == nil || req.ended {
 		w.t.Fatalf("a second answer, or one to an unknown request: %+v", a)
 	}
-	p.ended = true
-	for _, earlier := range p.attempts {
-		safe := p.class.Repeat == Free || p.class.Repeat == Guarded && p.class.Group == GroupAll
+	req.ended = true
+	for _, earlier := range req.attempts {
+		safe := req.class.Repeat == Free || req.class.Repeat == Guarded && req.class.Group == GroupAll
 		if a.Kind == Refuse && !earlier.notRun && !safe {
-			w.t.Errorf("%s refused though it may have run", p.class.Name)
+			w.t.Errorf("%s refused though it may have run", req.class.Name)
 		}
 	}
 }
@@ -262,11 +262,11 @@
 		}
 		next.run()
 	}
-	for id, p := range w.requests { // the map order is irrelevant: requests are only checked and deleted
-		if !p.ended && w.now > p.deadline+5*ms && !stall {
-			w.t.Fatalf("%s (class %s) got no answer in time", id, p.class.Name)
+	for id, req := range w.requests { // the map order is irrelevant: requests are only checked and deleted
+		if !req.ended && w.now > req.deadline+5*ms && !stall {
+			w.t.Fatalf("%s (class %s) got no answer in time", id, req.class.Name)
 		}
-		if p.ended && w.now > p.deadline+time.Second {
+		if req.ended && w.now > req.deadline+time.Second {
 			delete(w.requests, id)
 		}
 	}
@@ -295,14 +295,14 @@
 	}
 	r := Request{ID: fmt.Sprint("r", w.requestCount), Class: c.Name, Tenant: []string{"t", "t", "u", "?", ""}[w.rng.IntN(5)],
 		ExpiresIn: time.Duration(1+w.rng.IntN(600)) * ms, Key: fmt.Sprint(w.rng.IntN(30))}
-	p := &trackedRequest{Request: r, class: c, deadline: w.now + r.ExpiresIn}
-	w.requests[r.ID] = p
+	req := &trackedRequest{Request: r, class: c, deadline: w.now + r.ExpiresIn}
+	w.requests[r.ID] = req
 	w.requestTimes = append(w.requestTimes, w.now)
 	w.deliver(r)
-	if !p.ended && w.rng.IntN(40) == 0 {
+	if !req.ended && w.rng.IntN(40) == 0 {
 		w.schedule(ms, func() {
-			if !p.ended {
-				p.ended = true
+			if !req.ended {
+				req.ended = true
 				w.deliver(ClientGone{ID: r.ID})
 			}
 		})
--- a/policy/rules_test.go
+++ b/policy/rules_test.go
@@ -41,7 +41,7 @@
 	return list
 }
 
-// newTestBalancer returns a balancer that was given list as the last list seen.
+// newTestBalancer returns a balancer that has received list as a restored full list.
 func newTestBalancer(t *testing.T, set Settings, list []Member) *Balancer {
 	t.Helper()
 	b, err := New(set, 0, 1)
@@ -68,7 +68,7 @@
 	return Request{ID: id, Class: class, Tenant: "t", ExpiresIn: 600 * ms}
 }
 
-// sentTo returns the server of the only Send action in acts.
+// sentTo returns the server of the Send action in acts, and fails the test unless there is exactly one.
 func sentTo(t *testing.T, acts []Action) string {
 	t.Helper()
 	sends := actionsOfKind(acts, Send)
@@ -118,9 +118,9 @@
 	}
 }
 
-// A bound class is sent only to its own servers, on every attempt and even if all of them are out of service;
-// then its request is queued and refused in time. The limit on ejections applies separately to the class's
-// few servers.
+// Requests of a class that is bound to a kind of server go only to servers of that kind, on every attempt. If
+// all of these are out of service, a request is queued and refused in time. The limit on ejections applies
+// separately to the few servers of the class.
 func TestBoundClassUsesOnlyItsServers(t *testing.T) {
 	set := testSettings(1)
 	set.Classes[0].Kinds = []string{"k1"} // s01, s04, s07 of nine
@@ -156,13 +156,13 @@
 	}
 }
 
-// The retry budget counts every request received, including refused ones, and each extra attempt
-// individually.
-func TestRetryBudgetIsExact(t *testing.T) {
+// The attempt budget counts every request received, including refused ones, and each attempt beyond a
+// request's first.
+func TestAttemptBudgetIsNeverExceeded(t *testing.T) {
 	set := testSettings(1)
 	set.Rules.AttemptBudget = &AttemptBudget{MinExtra: 2, ExtraShare: 0.5, Span: time.Second}
 	b := newTestBalancer(t, set, members(9))
-	extras := func(now Time, from, n int) (sent int) {
+	extraAttempts := func(now Time, from, n int) (sent int) {
 		for i := range n {
 			id := fmt.Sprint(from + i)
 			for _, a := range actionsOfKind(slices.Clone(b.Handle(now, newRequest(id, "free"))), Send) {
@@ -171,7 +171,7 @@
 		}
 		return sent
 	}
-	if got := extras(ms, 0, 4); got > 4 { // MinExtra, and half of the 4 requests
+	if got := extraAttempts(ms, 0, 4); got > 4 { // MinExtra, and half of the 4 requests
 		t.Errorf("%d extra attempts for 4 requests, want at most 4", got)
 	}
 	b.recentExtra, b.recentRequests = nil, []Time{0, 1, 2, 3}
@@ -217,7 +217,7 @@
 		r := newRequest(fmt.Sprint(i), "free")
 		r.Tenant = "u"
 		if refusals := actionsOfKind(b.Handle(ms, r), Refuse); len(refusals) == 1 {
-			if i != 8 { // 10 a second / ln 2, for a burst of half a second
+			if i != 8 { // a burst of half a second at 10 / ln 2 a second, rounded up
 				t.Errorf("refused after %d requests, want 8", i)
 			}
 			if refusals[0].Wait != time.Second {
@@ -228,7 +228,7 @@
 	}
 }
 
-func TestOverrideByClassHasItsOwnBucketAndMaximum(t *testing.T) {
+func TestClassOverrideHasItsOwnBucketAndIsCapped(t *testing.T) {
 	set := testSettings(1)
 	set.Limits = RateLimits{PerClass: map[string]Limit{"free": {PerWindow: 50, Window: time.Second, Burst: 50}}, Max: 2}
 	b := newTestBalancer(t, set, members(8))
@@ -248,7 +248,7 @@
 	return Outcome{ID: id, Attempt: attempt, Server: server, Code: code, Latency: latency, Ended: code == OK}
 }
 
-func TestRetriesFollowTheirClass(t *testing.T) {
+func TestRetriesFollowRepeatAndGroupOfTheirClass(t *testing.T) {
 	for _, tc := range []struct {
 		class      string
 		code       Code
@@ -293,7 +293,7 @@
 	}
 }
 
-// A trial that was cancelled because its second copy was faster must not block later trials.
+// A trial that was cancelled because its hedge was faster must not block later trials.
 func TestCancelledTrialDoesNotBlockTheNext(t *testing.T) {
 	b := newTestBalancer(t, testSettings(1), members(6))
 	s := b.servers["s00"]
@@ -490,7 +490,7 @@
 	}
 }
 
-// With many nodes, each is often full by chance: its pace stays at 1, so that bucket rates stay at the
+// With many nodes, each often finds no room by chance: its pace stays at 1, so that bucket rates stay at the
 // tenants' shares, and the bound on its attempts in flight sheds the rest. With few nodes the pace falls,
 // because nothing else sheds load.
 func TestPaceOfManyNodesStaysAtOne(t *testing.T) {
@@ -540,9 +540,9 @@
 	}
 }
 
-// A cold server's budget is shared by all nodes. Each spends its share wherever its own walk starts, and
-// derives it from the rate that warm servers of that kind report, however few answers the node itself got
-// lately.
+// A cold server's budget is shared by all nodes. A node uses its share even if the server is last in its
+// packing order. It derives the share from the rate that warm servers of that kind report, even if it got few
+// answers itself lately.
 func TestColdServersGetAShareFromEveryNode(t *testing.T) {
 	list := members(60)
 	b := oneOf80Nodes(t, list)
@@ -556,7 +556,7 @@
 		warm = b.packingOrder()[slices.Index(b.packingOrder(), warm)+1]
 	}
 	b.recordLoadReport(warm, []float64{0.9, 400})
-	b.recordLoadReport(cold, []float64{0.1, 1}) // too little used to show its capacity
+	b.recordLoadReport(cold, []float64{0.1, 1}) // too little load to show its capacity
 	cold.cold = coldBudget{lastRefill: b.now}
 	b.Handle(time.Second+500*ms, newRequest("early", "free")) // half a second at 1.4 * 0.24 * 400 / 80 a second
 	if cold.inFlight != 0 {
@@ -585,7 +585,7 @@
 		return s.cold.tokens
 	}
 	unlimited := tokens()
-	b.recordLoadReport(s, []float64{0.2, 1}) // too little used to show its capacity
+	b.recordLoadReport(s, []float64{0.2, 1}) // too little load to show its capacity
 	if got := tokens(); got != unlimited {
 		t.Errorf("after a report of an idle server: %v tokens, want %v", got, unlimited)
 	}
@@ -595,8 +595,8 @@
 	}
 }
 
-// The thresholds of servers that get most of their work from other nodes share one learned scale: a node sees
-// too few answers of each server.
+// The thresholds of servers that get most of their work from other nodes share one learned scale, since a node
+// sees too few answers of each server to learn one for each.
 func TestSharedServersHaveOneThresholdScale(t *testing.T) {
 	set := testSettings(12)
 	set.WarmKeys = true
@@ -623,9 +623,9 @@
 	}
 }
 
-// Where servers shed early, a full answer is cheap: no request is refused unsent, the pace stays at 1, and no
-// server is ejected for full answers. Timeouts are evidence against early shedding, and full answers of a
-// hung server are none for it.
+// Where servers shed early, a full answer is cheap: no request is refused without an attempt, the pace stays
+// at 1, and no server is ejected for full answers. Timeouts are evidence that servers don't shed early, and
+// full answers of a server that may be hung don't count as evidence that they do.
 func TestFullAnswersWhereServersShedEarly(t *testing.T) {
 	b := newTestBalancer(t, testSettings(1), members(2))
 	s := b.packingOrder()[0]
@@ -669,8 +669,8 @@
 	}
 }
 
-// The pace rises above cautiousPace only while few answers are bad: otherwise other nodes may lack the
-// capacity.
+// The pace rises above cautiousPace only while few answers are bad: otherwise this node may take capacity that
+// other nodes lack.
 func TestHighPaceNeedsGoodAnswers(t *testing.T) {
 	b := newTestBalancer(t, testSettings(1), members(2))
 	raisePace := func() {
@@ -693,8 +693,8 @@
 }
 
 // Answers that are slow but within their aim lower a threshold and don't limit the pace. Where requests take
-// a large part of their aim even on an idle server, the pace would otherwise stop below what uneven traffic
-// within a share needs.
+// a large part of their aim even on an idle server, the pace would otherwise stay too low for traffic that is
+// within a tenant's share but uneven.
 func TestHighPaceToleratesSlowAnswersInTime(t *testing.T) {
 	for _, late := range []bool{false, true} {
 		b := newTestBalancer(t, testSettings(1), members(2))
@@ -719,9 +719,9 @@
 	}
 }
 
-// Connections that were idle for as long as those on which attempts went unanswered are closed before a send,
-// and a server isn't blamed for attempts lost on them. Short idle times, and sends that fail on all
-// connections alike, change nothing.
+// If attempts on connections that were idle for some time go unanswered, connections that were idle for as
+// long are closed before a send, and those attempts don't count against the server. Connections that were idle
+// only briefly are kept, and attempts that also fail on new connections count against the server.
 func TestSilentlyDroppedConnectionsAreReopened(t *testing.T) {
 	b := newTestBalancer(t, testSettings(1), members(2))
 	s, now := b.packingOrder()[0], Time(0)
@@ -748,7 +748,7 @@
 		sendAfter(50*ms, OK)
 	}
 	if s.health.score != 0 || s.health.ejected {
-		t.Errorf("the server is blamed: score %v", s.health.score)
+		t.Errorf("the lost attempts count against the server: score %v", s.health.score)
 	}
 	if sendAfter(900*ms, OK) != 1 {
 		t.Error("not closed before a send on a connection that was idle for as long as those of the lost attempts")
@@ -768,7 +768,7 @@
 		sendAfter(50*ms, TimedOut)
 	}
 	if !s.health.ejected && s.health.score == 0 {
-		t.Error("a server that is silent on new connections isn't blamed")
+		t.Error("the silence on new connections doesn't count against the server")
 	}
 }
 
@@ -793,8 +793,9 @@
 	}
 }
 
-// Full answers of overloaded servers don't show that they shed early, since their other answers time out.
-func TestOverloadedServersDontShedEarly(t *testing.T) {
+// Overloaded servers don't count as shedding early, however many full answers they give, since many of their
+// other attempts time out.
+func TestOverloadedServersDontCountAsSheddingEarly(t *testing.T) {
 	b := newTestBalancer(t, testSettings(1), members(2))
 	s := b.packingOrder()[0]
 	for range 30 {
@@ -806,12 +807,12 @@
 		s.health.score = 0
 	}
 	if b.serversShedEarly() {
-		t.Error("the servers count as shedding early although half of the other answers time out")
+		t.Error("the servers count as shedding early although half of the other attempts time out")
 	}
 }
 
-// A second copy is sent only if the server of the attempt has gone silent. If it answers others, the request
-// is heavy, and a copy would be as heavy elsewhere.
+// A hedge is sent only if the server of the first attempt has gone silent. If that server answers others, the
+// request is heavy, and a hedge would be as heavy elsewhere.
 func TestOnlySilentServersAreHedged(t *testing.T) {
 	for _, silent := range []bool{true, false} {
 		b := newTestBalancer(t, testSettings(1), members(4))
@@ -821,14 +822,14 @@
 		}
 		acts := b.Handle(240*ms, Timer{Token: slowCheckToken})
 		if got := len(actionsOfKind(acts, Send)) == 1; got != silent {
-			t.Errorf("silent %v: second copy sent %v", silent, got)
+			t.Errorf("silent %v: hedge sent %v", silent, got)
 		}
 	}
 }
 
-// The rate to a cold server leaves one multiple of its capacity as a margin for chance, whatever multiple is
-// allowed; it uses at least half of one.
-func TestColdRateLeavesOneMultipleAsMargin(t *testing.T) {
+// The rate to a cold server is coldMargin (0.7) times its present capacity times the larger of 0.5 and
+// OverloadMultiple - 1. The 1 that is subtracted is a margin for random variation.
+func TestColdRateLeavesAMargin(t *testing.T) {
 	for multiple, want := range map[float64]float64{1: 0.35, 2: 0.7, 3: 1.4} {
 		set := testSettings(1)
 		set.Rules.OverloadMultiple, set.Rules.ColdShare, set.Rules.ColdFor = multiple, 0.5, time.Hour
@@ -855,9 +856,9 @@
 	}
 }
 
-// Nodes that start together don't all request the list at once. A failed call or a lost subscription is
-// followed by another call that is early enough for the time limit, however many failed before, and not by
-// those of all nodes at once.
+// Nodes that start together don't all request the list at once. After a failed call or a lost subscription,
+// each node calls again early enough for the time limit, however many calls failed before, and at another time
+// than the other nodes.
 func TestListCallsAreSpreadOut(t *testing.T) {
 	const nodes = 80
 	for within, limit := range map[time.Duration]time.Duration{0: maxUpdateDelay, time.Second: time.Second,
@@ -1011,8 +1012,8 @@
 	}
 }
 
-// Faults that all servers have in common neither close thresholds nor eject servers. A server with many more
-// faults is still ejected, and if the others have none, two in a row suffice.
+// Faults that all servers have in common neither lower thresholds much nor eject servers. A server with many
+// more faults than the others is still ejected, and if the others have none, two faults in a row suffice.
 func TestCommonFaultsWeighLittle(t *testing.T) {
 	send := func(b *Balancer, now Time, s *server, code Code) {
 		id := fmt.Sprint(now)
@@ -1075,7 +1076,7 @@
 	}
 }
 
-// The request times that the retry budget counts don't accumulate, even if nothing is ever retried.
+// The request times that the attempt budget counts don't accumulate, even if nothing is ever retried.
 func TestRecentRequestsAreBounded(t *testing.T) {
 	b := newTestBalancer(t, testSettings(1), members(2))
 	for i := range 5000 {
@@ -1101,7 +1102,7 @@
 	}
 }
 
-// A timeout frees nothing at the server: an abandoned attempt counts as outstanding until an attempt sent
+// The server may work on after a timeout: an abandoned attempt counts as outstanding until an attempt sent
 // later is answered, or until its deadline.
 func TestAbandonedAttemptsCountAsOutstanding(t *testing.T) {
 	for _, tc := range []struct {
@@ -1201,8 +1202,8 @@
 	}
 }
 
-// A server whose answers are slow because its cores are keeps room for a few attempts of each of two nodes:
-// it has several cores, and with less room it would be idle while buckets refuse requests for lack of room.
+// A server that answers slowly because its cores are slow keeps room for a few attempts of each of two nodes.
+// It has several cores, and with less room it would be idle while buckets refuse requests for lack of room.
 func TestSlowServersKeepRoomForAFewAttempts(t *testing.T) {
 	b := newTestBalancer(t, testSettings(2), members(1))
 	s := b.packingOrder()[0]
@@ -1217,9 +1218,9 @@
 	}
 }
 
-// The aim of a retry counts from its client's first try, as far as the time left shows when that was. A retry
-// past the aim is refused at once, takes no token and is sent to no server.
-func TestRetriesPastTheFirstAimAreRefused(t *testing.T) { // aims of 250 ms, deadlines of 600 ms
+// The aim of a retry counts from the client's first try, as far as the time that the client still waits shows
+// when that was. A retry past the aim is refused at once, takes no token and is sent to no server.
+func TestRetriesPastTheAimOfTheFirstTryAreRefused(t *testing.T) { // aims of 250 ms, deadlines of 600 ms
 	for _, tc := range []struct {
 		name         string
 		first, retry time.Duration // how long the client waits for each try
--- a/policy/scale_test.go
+++ b/policy/scale_test.go
@@ -55,7 +55,7 @@
 		t.Fatal(err)
 	}
 	r := &scaleRun{fleetSize: z, balancer: b, list: z.members()}
-	b.Handle(0, MemberList{Kind: ListReplace, Members: z.members()}) // a separate list, since the node gets new strings with each one
+	b.Handle(0, MemberList{Kind: ListReplace, Members: z.members()}) // a separate list, since a node gets new strings with each list
 	return r
 }
 
--- a/policy/state_test.go
+++ b/policy/state_test.go
@@ -54,8 +54,8 @@
 }
 
 // A server that the old process ejected stays ejected for the rest of its time, and needs a trial before it is used.
-// Ejections are ignored if there are more than a process makes by itself.
-func TestSuccessorKeepsBreakers(t *testing.T) {
+// All ejections are ignored if they exceed the limit to which a process keeps by itself, maxEjectedFraction.
+func TestSuccessorKeepsEjections(t *testing.T) {
 	for ejected, want := range map[int]int{0: 0, 1: 1, 2: 2, 3: 0} {
 		old := newTestBalancer(t, testSettings(2), members(5))
 		for i := range ejected {
