--- a/cmd/scalerun/main.go
+++ b/cmd/scalerun/main.go
@@ -1,5 +1,5 @@
 // Command scalerun measures nodes in fleets that are too large to run completely on one machine, as described by a plan,
-// and prints the results.
+// and prints the results. Read commands first, then package internal/scale, which does the work.
 package main
 
 import (
--- a/cmd/simhost/main.go
+++ b/cmd/simhost/main.go
@@ -1,5 +1,6 @@
 // Command simhost runs instances of the decision module for the simulator. It reads batches of messages on standard
-// input, dispatches events to instances, and writes their actions to standard output.
+// input, dispatches events to instances, and writes their actions to standard output. Read handleLine first, then
+// packages internal/wire, which decodes and encodes the messages, and policy, which is the decision module.
 package main
 
 import (
--- a/cmd/soak/main.go
+++ b/cmd/soak/main.go
@@ -1,5 +1,5 @@
 // Command soak runs node processes under overlapping disruptions, which it generates from a seed, and checks them against
-// the rules.
+// the rules. Read command and its Run first, then package internal/soak, which does the work.
 package main
 
 import (
--- a/cmd/wayhold/main.go
+++ b/cmd/wayhold/main.go
@@ -1,4 +1,5 @@
-// Command wayhold runs one request-routing node on real sockets. ROUTER_CONFIG names its configuration file.
+// Command wayhold runs one request-routing node on real sockets. ROUTER_CONFIG names its configuration file. Read run
+// first, then package internal/node, which does the work.
 package main
 
 import (
--- a/internal/discovery/discovery.go
+++ b/internal/discovery/discovery.go
@@ -1,6 +1,7 @@
 // Package discovery keeps the list of servers up to date with long polls, and retries them after failures. The operators'
 // pages PROTOCOL and STANDING say when a change of the list counts as delivered to the node, whether or not the node has
-// fetched it; the timeouts and pauses below are chosen to fetch it in time.
+// fetched it; the timeouts and pauses below are chosen to fetch it in time. Read Client and its
+// Run first, then callOnce.
 package discovery
 
 import (
--- a/internal/invariant/rules.go
+++ b/internal/invariant/rules.go
@@ -2,7 +2,7 @@
 // facts passed in, and counts denied steps and violations by rule.
 //
 // The rules are those of the operators' PROTOCOL page and of STANDING.md; docs/promises.md lists the code paths that
-// enforce them.
+// enforce them. Read Rule first, then MayAttempt and the functions like it, then Monitor in monitor.go, which counts.
 package invariant
 
 import (
--- a/internal/node/config.go
+++ b/internal/node/config.go
@@ -1,5 +1,8 @@
 // Package node runs the decision module on real sockets. It makes no routing decisions itself: it passes events to a
-// policy.Balancer and carries out the actions that this returns.
+// policy.Balancer and carries out the actions that the Balancer returns.
+//
+// Read loop.go first (the event loop, which owns the Balancer), then server.go (requests from clients), upstream.go
+// (connections and attempts to servers) and lifecycle.go (readiness, standby and shutdown).
 package node
 
 import (
--- a/internal/node/lifecycle.go
+++ b/internal/node/lifecycle.go
@@ -11,7 +11,9 @@
 // phase is a phase in the life of a node's process.
 type phase int32
 
-// The phases, in the order in which most processes go through them.
+// The phases, in the order in which most processes go through them. The front, here and throughout this package, is the
+// load balancer that distributes the clients over the nodes; it sends new clients only to nodes whose /health/ready
+// reports that they are ready.
 const (
 	starting phase = iota // no servers are known yet
 	active
@@ -25,8 +27,8 @@
 }
 
 const (
-	// standbyNotice is how long a node in standby still serves as before: the front, which distributes new clients over
-	// the nodes, checks readiness ten times a second, and then takes 0.2 s to stop sending new clients.
+	// standbyNotice is how long a node in standby still serves as before: the front checks readiness ten times a second,
+	// and then takes 0.2 s to stop sending new clients.
 	standbyNotice = 600 * time.Millisecond
 	// closeIdleInterval is the interval at which idle connections are closed while clients are being drained.
 	closeIdleInterval = 100 * time.Millisecond
--- a/internal/scale/plan.go
+++ b/internal/scale/plan.go
@@ -1,6 +1,6 @@
 // Package scale measures nodes in fleets that are too large to run completely on one machine. It runs stand-ins for
 // discovery and the transcribers, a few real nodes in a process each, and hollow nodes, which have no client sockets
-// and share processes.
+// and share processes. Read Plan first, then Execute in run.go and World in world.go.
 package scale
 
 import (
--- a/internal/soak/plan.go
+++ b/internal/soak/plan.go
@@ -1,5 +1,6 @@
 // Package soak runs many real node processes on loopback under overlapping disruptions, generated from a seed, and checks
-// what their clients, servers and discovery observe against the rules that nodes have to keep.
+// what their clients, servers and discovery observe against the rules that nodes have to keep. Read Plan first, then
+// Execute in run.go, which runs it, and Checker in judge.go, which checks the rules.
 package soak
 
 import (
--- a/internal/wire/decode.go
+++ b/internal/wire/decode.go
@@ -1,5 +1,5 @@
 // Package wire translates between the simulator's line protocol and the types of package policy.
-// It makes no routing decisions.
+// It makes no routing decisions. Read Decoder first, then AppendAction in encode.go and DecodeSettings in settings.go.
 package wire
 
 import (
--- a/policy/api.go
+++ b/policy/api.go
@@ -2,9 +2,9 @@
 // attempt, and when to retry, hedge, refuse or fail. It is an event-driven state machine: time and the random
 // seed are passed in, and it starts no goroutines and does no I/O.
 //
-// This file is the interface (settings, events, actions). Each decision has its own file: balancer.go
-// dispatches the events, and admission, routing, attempts, connections, outcomes, outlier, slowstart and
-// membership make the decisions.
+// Read this file first, the interface (settings, events, actions), then Handle in balancer.go, which passes
+// each event on, and then one of the files that decide: admission.go, routing.go, attempts.go, connections.go,
+// outcomes.go, outlier.go, slowstart.go and membership.go.
 package policy
 
 import (
--- a/policy/attempts.go
+++ b/policy/attempts.go
@@ -7,14 +7,14 @@
 // Attempts: sending, retries, hedged requests, and giving up.
 
 const (
-	giveUpRetryAfter  = time.Second           // Retry-After of a request that is given up: the shortest of the buckets'
-	fullRetryCost     = 0.15                  // of an attempt: charge for a retry after a full answer, where servers shed early
+	giveUpRetryAfter  = time.Second           // Retry-After of a request that is given up: the shortest that a rate limit gives
+	fullRetryCost     = 0.15                  // fraction of an attempt charged for a retry after a full answer, where servers shed early
 	queuePollInterval = 20 * time.Millisecond // between checks of queued requests
 	tailQuantile      = 0.95                  // latency quantile of a class after which its attempts are checked
 	tailStep          = 0.1                   // relative step of the estimate of that quantile
 	tailMargin        = 1.2                   // multiple of the estimate after which an attempt is slow and may be hedged
 	latencyGain       = 0.2                   // weight of one answer in the mean latency of a server
-	answerRateWindow  = 3 * time.Second       // time constant of the answer rate: covers a few even at a quiet node
+	answerRateWindow  = 3 * time.Second       // time constant of the answer rate: spans a few answers even at low traffic
 
 	queueToken, listToken, slowCheckToken = 1, 2, 8 // timer tokens; each class adds its index to the last
 )
@@ -149,7 +149,7 @@
 		c.slowChecks = c.slowChecks[1:]
 		a := &check.req.attempts[check.attempt]
 		if a.ended || a.server.lastAnswer >= a.sent {
-			// If the server answers other requests, this one is heavy, and its second copy would be as heavy.
+			// If the server answers other requests, this request is heavy, and a hedge would be as heavy.
 			continue
 		}
 		if a.idleOctave == 0 {
@@ -162,7 +162,8 @@
 	b.setSlowCheckTimer(c)
 }
 
-// hedge sends a second copy of r if its class, the settings and the attempt budget allow one.
+// hedge sends a hedge of r, which is another attempt while one is in flight, if its class, the settings and the
+// attempt budget allow one.
 func (b *Balancer) hedge(r *request) {
 	if r.class.Repeat == Never || !b.settings.Allowed.Hedge || !b.withinAttemptBudget() || b.limitReached(r) {
 		return
@@ -176,7 +177,7 @@
 // for the log.
 func (b *Balancer) giveUp(r *request, reason string) {
 	if r.inFlight > 0 {
-		return // a copy is still in flight and may answer
+		return // another attempt is still in flight and may answer
 	}
 	if r.firstRun == nil || r.class.Repeat == Free || r.class.Repeat == Guarded && r.class.Group == GroupAll {
 		b.refuse(r, giveUpRetryAfter, reason)
@@ -191,7 +192,7 @@
 	b.end(r)
 }
 
-// end marks r as answered and cancels its copies; r is kept until they have ended.
+// end marks r as answered and cancels its attempts in flight; r is kept until they have ended.
 func (b *Balancer) end(r *request) {
 	if !r.ended {
 		r.ended = true
--- a/policy/balancer.go
+++ b/policy/balancer.go
@@ -4,7 +4,8 @@
 	"math/rand/v2"
 )
 
-// New returns the decision state of one node for the given settings. The seed drives its random choices.
+// New returns a Balancer, which holds the decision state of one node, for the given settings. The seed drives its
+// random choices.
 func New(set Settings, now Time, seed uint64) (*Balancer, error) {
 	if err := set.Validate(); err != nil {
 		return nil, err
--- a/policy/outcomes.go
+++ b/policy/outcomes.go
@@ -35,7 +35,7 @@
 	switch {
 	case e.Ended || r.ended || e.Code == OK:
 		b.end(r)
-	case r.inFlight > 0: // a copy may still answer
+	case r.inFlight > 0: // another attempt may still answer
 	case e.Code == NotSent || b.now >= r.deadline || r.streaming ||
 		r.firstRun != nil && r.class.Repeat == Never:
 		b.giveUp(r, e.Code.String())
@@ -80,8 +80,8 @@
 			return
 		}
 	case Cancelled:
-		// This node cancelled the attempt, which says nothing about the server. But a trial that needed a second copy
-		// has failed.
+		// This node cancelled the attempt, which says nothing about the server. But a trial that needed a hedge has
+		// failed.
 		if !a.trial {
 			return
 		}
