--- a/internal/node/crossings_test.go
+++ b/internal/node/crossings_test.go
@@ -83,7 +83,7 @@
 	client, conn := dial()
 	l.mu.Lock()
 	if !conn.tryUnregister() {
-		t.Fatal("tryClose failed for an idle connection")
+		t.Fatal("tryUnregister failed for an idle connection")
 	}
 	l.mu.Unlock()
 	if _, err := io.WriteString(client, "GET / HTTP/1.1\r\nHost: a\r\n\r\n"); err != nil {
--- a/internal/node/handover_faults_test.go
+++ b/internal/node/handover_faults_test.go
@@ -63,7 +63,7 @@
 			t.Error("the new process counts the old one as dead")
 		}
 		if _, err := runningProcesses(dir); err == nil {
-			t.Error("livingProcesses succeeded without descriptors")
+			t.Error("runningProcesses succeeded without descriptors")
 		}
 	})
 	if saved, err := next.readSnapshot(old.id, time.Now()); err != nil || saved.Revision != 7 {
--- a/policy/rules_test.go
+++ b/policy/rules_test.go
@@ -665,7 +665,7 @@
 		b.updateStatus(s)
 	}
 	if acts := b.Handle(2*ms, newRequest("y", "free")); len(actionsOfKind(acts, Send)) != 0 {
-		t.Error("sent beyond overcommitLimit")
+		t.Error("sent beyond overcommitFactor")
 	}
 }
 
