--- a/internal/invariant/rules.go
+++ b/internal/invariant/rules.go
@@ -118,8 +118,8 @@
 // TimeUp reports whether a request has too little time left for an attempt to start.
 func TimeUp(left time.Duration) bool { return left < MinAttemptTime }
 
-// mayRepeat returns the rule on repeated or concurrent attempts that an attempt would violate now. It implements the
-// contract's second rule (WIRE, no duplicate effect).
+// mayRepeat returns the rule on repeated or concurrent attempts that an attempt would violate now. It implements
+// rule 2 (no duplicate effects) of the operators' WIRE page; the package comment of policy lists that page's rules.
 func mayRepeat(a Attempt) Rule {
 	firstRun := -1
 	for i, p := range a.Prior {
--- a/policy/api.go
+++ b/policy/api.go
@@ -5,6 +5,15 @@
 // Read this file first, the interface (settings, events, actions), then Handle in balancer.go, which passes
 // each event on, and then one of the files that decide: admission.go, routing.go, attempts.go, connections.go,
 // outcomes.go, outlier.go, slowstart.go and membership.go.
+//
+// Comments refer to the rules of the operators' WIRE page by number:
+//
+//  1. No lost requests: every request gets a final answer, unless its client has left.
+//  2. No duplicate effects: a request that may have run is only repeated where duplicates are dropped or harmless.
+//  3. Graceful drain: a draining server gets no more attempts once the drain grace is over.
+//  4. Safe fail-back: a server that has just started gets its load back gradually (slow start).
+//  5. Placement: a class bound to zones or kinds of server is sent nowhere else.
+//  6. Attempt budget: attempts beyond the first of each request are limited to a budget.
 package policy
 
 import (
@@ -88,7 +97,7 @@
 	Span       time.Duration
 }
 
-// Rules holds the parameters of the rules.
+// Rules holds the parameters of the operators' rules (see the package comment).
 type Rules struct {
 	AnswerGrace       time.Duration  // a final answer is still in time this long after the deadline
 	DrainGrace        time.Duration  // a node must stop sending to a draining server within this time
--- a/policy/attempts.go
+++ b/policy/attempts.go
@@ -61,9 +61,9 @@
 	return len(r.attempts) >= max(1, b.settings.Allowed.MaxAttempts) || b.now >= r.usefulUntil
 }
 
-// withinAttemptBudget enforces rule 6: attempts beyond the first of each request stay within the attempt budget of the
-// settings, or the default one, so that they don't amplify an overload. The count is exact over the sliding span, and
-// errs on the strict side at its edges.
+// withinAttemptBudget enforces rule 6 (attempt budget): attempts beyond the first of each request stay within the
+// attempt budget of the settings, or the default one, so that they don't amplify an overload. The count is exact over
+// the sliding span, and errs on the strict side at its edges.
 func (b *Balancer) withinAttemptBudget() bool {
 	from := b.now - b.attemptBudget.Span
 	b.recentRequests, b.recentExtra = dropBefore(b.recentRequests, from+1), dropBefore(b.recentExtra, from)
--- a/policy/membership.go
+++ b/policy/membership.go
@@ -110,7 +110,8 @@
 
 // placeServers puts servers into the packing order: own zone first, since crossing zones costs, then by id,
 // each set from where this node's walk begins. Draining servers are left out at once, well within the drain
-// grace of rule 3. New servers draw their random initial state in packing order, once all are placed.
+// grace of rule 3 (graceful drain). New servers draw their random initial state in packing order, once all
+// are placed.
 func (b *Balancer) placeServers(toPlace []*server) {
 	slices.SortFunc(toPlace, func(x, y *server) int { return cmp.Compare(x.Server, y.Server) })
 	var newServers []*server
--- a/policy/routing.go
+++ b/policy/routing.go
@@ -68,7 +68,7 @@
 }
 
 // eligiblePool returns the servers that r may be sent to, including those that it was already sent to; nil for none.
-// It enforces rule 2: a request that may have run is only repeated where duplicates are dropped.
+// It enforces rule 2 (no duplicate effects) by the scope that repeatScope returns.
 func (b *Balancer) eligiblePool(r *request) *pool {
 	eligible := r.class.eligible
 	switch b.repeatScope(r) {
@@ -92,7 +92,8 @@
 	scopeAll
 )
 
-// repeatScope returns where r may be sent, given which of its attempts may have run. Only this decides on rule 2.
+// repeatScope returns where r may be sent, given which of its attempts may have run. It alone decides what rule 2 (no
+// duplicate effects) allows.
 func (b *Balancer) repeatScope(r *request) scope {
 	switch {
 	case r.firstRun == nil || r.class.Repeat == Free:
@@ -256,19 +257,19 @@
 	return s.lastSend + seconds(s.meanLatency*(1/threshold-1))
 }
 
-// usable reports whether r may go to s now: s isn't ejected, the rules allow it and, if it is cold, so does its budget.
+// usable reports whether r may go to s now: s isn't ejected, maySendTo allows it and, if s is cold, so does its budget.
 func (b *Balancer) usable(r *request, s *server) bool {
 	return !s.health.ejected && b.maySendTo(r, s) && b.coldBudgetAllows(s)
 }
 
-// permits enforces rule 5: a class bound to zones or kinds of server is sent nowhere else.
+// permits enforces rule 5 (placement): a class bound to zones or kinds of server is sent nowhere else.
 func (c *class) permits(s *server) bool {
 	return (len(c.Kinds) == 0 || slices.Contains(c.Kinds, s.Kind)) &&
 		(len(c.Zones) == 0 || slices.Contains(c.Zones, s.Zone))
 }
 
-// maySendTo enforces rule 5, and rule 2: a request that may have run is only repeated where duplicates are dropped. It
-// also keeps a request from being sent to a server twice.
+// maySendTo enforces rule 2 (no duplicate effects) and rule 5 (placement). It also keeps a request from being sent to a
+// server twice.
 func (b *Balancer) maySendTo(r *request, s *server) bool {
 	if !r.class.permits(s) {
 		return false
--- a/policy/slowstart.go
+++ b/policy/slowstart.go
@@ -48,8 +48,9 @@
 	}
 }
 
-// coldBudgetAllows enforces rule 4: a cold server gets at most its current fraction of what a warm one of its kind
-// serves. It first brings the server's budget up to date, at the mean of the rates at this check and the last one.
+// coldBudgetAllows enforces rule 4 (safe fail-back): a cold server gets at most its current fraction of what a warm one
+// of its kind serves. It first brings the server's budget up to date, at the mean of the rates at this check and the
+// last one.
 func (b *Balancer) coldBudgetAllows(s *server) bool {
 	if b.rampFraction(s) >= 1 {
 		return true
