--- a/policy/api.go
+++ b/policy/api.go
@@ -6,9 +6,10 @@
 // each event on, and then one of the files that decide: admission.go, routing.go, attempts.go, connections.go,
 // outcomes.go, outlier.go, slowstart.go and membership.go.
 //
-// Comments refer to the rules of the operators' WIRE page by number:
+// Comments refer to rules by number. Rules 1 to 4 are those of the operators' WIRE page, section "The contract".
+// Rules 5 and 6 are limits that the settings state (Class.Kinds and Class.Zones, Rules.AttemptBudget).
 //
-//  1. No lost requests: every request gets a final answer, unless its client has left.
+//  1. No lost requests: each request that a node took gets one final answer, in time, unless its client has left.
 //  2. No duplicate effects: a request that may have run is only repeated where duplicates are dropped or harmless.
 //  3. Graceful drain: a draining server gets no more attempts once the drain grace is over.
 //  4. Safe fail-back: a server that has just started gets its load back gradually (slow start).
