--- a/policy/api.go
+++ b/policy/api.go
@@ -2,9 +2,19 @@
 // attempt, and when to retry, hedge, refuse or fail. It is an event-driven state machine: time and the random
 // seed are passed in, and it starts no goroutines and does no I/O.
 //
-// This file is the interface (settings, events, actions). Each decision has its own file: balancer.go
-// dispatches the events, and admission, routing, attempts, connections, outcomes, outlier, slowstart and
-// membership make the decisions.
+// Read this file first, the interface (settings, events, actions), then Handle in balancer.go, which passes
+// each event on, and then one of the files that decide: admission.go, routing.go, attempts.go, connections.go,
+// outcomes.go, outlier.go, slowstart.go and membership.go.
+//
+// Comments refer to rules by number. Rules 1 to 4 are those of the operators' WIRE page, section "The contract".
+// Rules 5 and 6 are limits that the settings state (Class.Kinds and Class.Zones, Rules.AttemptBudget).
+//
+//  1. No lost requests: each request that a node took gets one final answer, in time, unless its client has left.
+//  2. No duplicate effects: a request that may have run is only repeated where duplicates are dropped or harmless.
+//  3. Graceful drain: a draining server gets no more attempts once the drain grace is over.
+//  4. Safe fail-back: a server that has just started gets its load back gradually (slow start).
+//  5. Placement: a class bound to zones or kinds of server is sent nowhere else.
+//  6. Attempt budget: attempts beyond the first of each request are limited to a budget.
 package policy
 
 import (
@@ -88,7 +98,7 @@
 	Span       time.Duration
 }
 
-// Rules holds the parameters of the rules.
+// Rules holds the parameters of the operators' rules (see the package comment).
 type Rules struct {
 	AnswerGrace       time.Duration  // a final answer is still in time this long after the deadline
 	DrainGrace        time.Duration  // a node must stop sending to a draining server within this time
