--- a/policy/rules_test.go
+++ b/policy/rules_test.go
@@ -452,7 +452,7 @@
 	for name, tc := range map[string]struct {
 		list []Member
 		want int
-	}{"all": {members(60), 9}, "a third": {members(20), 3}, "half cold": {halfCold, 5}} { // 2 * 6 * 60 / 80 for 60 warm servers
+	}{"all": {members(60), 9}, "a third": {members(20), 3}, "half cold": {halfCold, 5}} { // 2 * 6 * 60 / 80 for 60 warm servers; half of that, 4.5, is rounded up
 		b, warmSends := oneOf80Nodes(t, tc.list), 0
 		for _, s := range b.packingOrder() {
 			if s.OnlineSince > 0 {
